--- a/pkedge/attempt.go
+++ b/pkedge/attempt.go
@@ -13,22 +13,20 @@
 )
 
 const (
-	// leaveFirst and leaveLast are between which times after a target began to
-	// leave its streams change their path: most end by themselves within that time,
-	// and the rest must not all come to the same engine at once. Targets serve on
-	// for two seconds at least.
-	leaveFirst = 500 * time.Millisecond
-	leaveLast  = 1600 * time.Millisecond
-	// stayPause is how soon a stream that found no room elsewhere looks again, and one
-	// whose new path was refused.
-	stayPause = 200 * time.Millisecond
-	// pauseWeight is the weight of the last pause in a stream's mean.
+	// drainDelayMin and drainDelayMax bound the random delay after which streams leave a draining
+	// target. Most end by themselves before that, and the rest must not all reach the same engine
+	// at once. Targets keep serving for at least two seconds after they begin to drain.
+	drainDelayMin = 500 * time.Millisecond
+	drainDelayMax = 1600 * time.Millisecond
+	// rerouteRetryDelay is how long a stream waits after a failed reroute before it tries again.
+	rerouteRetryDelay = 200 * time.Millisecond
+	// pauseWeight is the weight of the latest pause in a stream's moving average.
 	pauseWeight = 0.2
-	// refusedWithin is how long an engine takes at most to refuse a request for another one on
-	// its path: some milliseconds. Beginning to run a request takes 40 ms and more.
-	refusedWithin = 30 * time.Millisecond
-	// provenAfter is how long after its first event a stream has shown that its engines bear
-	// it: those that a request crashes end within a tenth of a second of beginning to run it.
+	// refusalWindow is the time within which an engine refuses a request on behalf of a later one
+	// on its path. Engines need longer than that to start a request.
+	refusalWindow = 30 * time.Millisecond
+	// provenAfter is how long a stream must run after its first event to count as safe for its
+	// engines: a request that crashes engines does so within a tenth of a second of being started.
 	provenAfter = time.Second
 )
 
@@ -40,94 +38,92 @@
 	tokens  float64
 	cancel  context.CancelCauseFunc
 
-	mu    sync.Mutex
-	path  route
-	last  time.Time
-	pause time.Duration
-	// events counts the events of this attempt, the first of which came at first; proven says
-	// that it has gone on for long enough. mended counts its new paths.
-	events  int
-	first   time.Time
-	proven  bool
-	mended  int
-	mending bool
-	over    bool
-	// paid is set once the next send was counted in the retry budget.
-	paid atomic.Bool
-	// again says that the request has another attempt left.
-	again bool
-	// triedUntil is until when it is not tried again to give the attempt another path.
-	triedUntil time.Time
-	// patience is how long the attempt stays with a target that leaves.
-	patience time.Duration
-}
-
-// newAttempt counts an attempt on the targets of its path.
-func (c *call) newAttempt(now time.Time, s *pkconfig.Service, p route, cancel context.CancelCauseFunc) *attempt {
+	mu          sync.Mutex
+	path        targetPath
+	lastEventAt time.Time
+	meanPause   time.Duration
+	// events counts the events of this attempt; proven is set once it has run for provenAfter, and
+	// reroutes counts its path changes.
+	events       int
+	firstEventAt time.Time
+	proven       bool
+	reroutes     int
+	rerouting    bool
+	ended        bool
+	// charged is set once the next send was charged to the retry budget.
+	charged atomic.Bool
+	// canRetry is set when the request has another attempt left.
+	canRetry bool
+	// rerouteNotBefore is when the next reroute may be tried.
+	rerouteNotBefore time.Time
+	// drainDelay is how long the attempt stays with a target that drains.
+	drainDelay time.Duration
+}
+
+// newAttempt returns an attempt and reserves its load on the targets of its path.
+func (c *call) newAttempt(now time.Time, s *pkconfig.Service, p targetPath, cancel context.CancelCauseFunc) *attempt {
 	a := &attempt{
-		call: c, service: s, began: now, last: now, tokens: c.size(s.Engine), cancel: cancel, path: p,
-		again:    c.route.Repeatable() && c.runs+1 < c.route.MaxAttempts,
-		patience: leaveFirst + rand.N(leaveLast-leaveFirst),
+		call: c, service: s, began: now, lastEventAt: now, tokens: c.size(s.Engine), cancel: cancel, path: p,
+		canRetry:   c.route.Repeatable() && c.runs+1 < c.route.MaxAttempts,
+		drainDelay: drainDelayMin + rand.N(drainDelayMax-drainDelayMin),
 	}
-	p.begin(now, s.Engine, &c.pipes, a.tokens, float64(c.req.Ask.PromptTokens), c.sharing.toldAfter())
+	p.reserve(now, s.Engine, &c.pipes, a.tokens, float64(c.req.Ask.PromptTokens), c.sharing.toldAfter())
 	c.streams.add(a)
 	return a
 }
 
-// end ends what newAttempt counted and returns how many new paths there were.
+// end releases what newAttempt reserved and returns the number of path changes.
 func (a *attempt) end() int {
 	a.call.streams.remove(a)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.over = true
-	a.path.done(a.tokens)
-	return a.mended
+	a.ended = true
+	a.path.release(a.tokens)
+	return a.reroutes
 }
 
-// event notes an event at now and says whether the attempt has now shown that its engines bear
-// the request.
-func (a *attempt) event(now time.Time) bool {
+// recordEvent records an event at now and reports whether the attempt became proven with it.
+func (a *attempt) recordEvent(now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.events == 0 {
-		a.first = now
+		a.firstEventAt = now
 	}
 	if a.events > 0 {
-		pause := now.Sub(a.last)
-		if a.pause == 0 {
-			a.pause = pause
+		pause := now.Sub(a.lastEventAt)
+		if a.meanPause == 0 {
+			a.meanPause = pause
 		}
-		a.pause += time.Duration(pauseWeight * float64(pause-a.pause))
+		a.meanPause += time.Duration(pauseWeight * float64(pause-a.meanPause))
 	}
 	a.events++
-	a.last = now
+	a.lastEventAt = now
 	before := a.proven
-	a.proven = a.proven || now.Sub(a.first) >= provenAfter
+	a.proven = a.proven || now.Sub(a.firstEventAt) >= provenAfter
 	return a.proven && !before
 }
 
-// broke suspects the request of an attempt that ended at now with an error, unless its engines
-// had borne it for long.
-func (a *attempt) broke(now time.Time, err error) {
+// recordFailure suspects the request of an attempt that ended at now with an error, unless the
+// attempt was proven.
+func (a *attempt) recordFailure(now time.Time, err error) {
 	if a.isProven() {
 		return
 	}
-	a.call.brokeOff(now, err, a.route().first())
+	a.call.suspectFailedSend(now, err, a.currentPath().first())
 }
 
-// diedUnder suspects the request of an attempt on whose path an engine is dead at now, unless
-// its engines had borne it for long, and says whether the request is kept from engines. The first
-// engine ends the send with it, which says whether it may have run; and one that the request has
-// only just been sent through may refuse it yet. Suspected of engines that had refused them, callers
-// that had met two crashes were refused for three.
-func (a *attempt) diedUnder(now time.Time, t *pkreplica.Target, why string) bool {
-	if why != whyDead || a.isProven() {
+// recordEngineDeath suspects the request of an attempt with a dead engine on its path, unless the
+// attempt was proven, and reports whether the request is quarantined. The first engine is left out,
+// since the outcome of the send tells whether it may have run the request. So is a request sent
+// less than refusalWindow ago, which the engine may have refused.
+func (a *attempt) recordEngineDeath(now time.Time, t *pkreplica.Target, reason string) bool {
+	if reason != reasonDead || a.isProven() {
 		return false
 	}
-	if t.ID != a.route().first().ID && now.Sub(a.began) >= refusedWithin {
-		a.call.suspectAt(now, t, false)
+	if t.ID != a.currentPath().first().ID && now.Sub(a.began) >= refusalWindow {
+		a.call.recordInterrupted(now, t, false)
 	}
-	return a.call.held(now) != nil
+	return a.call.checkQuarantine(now) != nil
 }
 
 func (a *attempt) isProven() bool {
@@ -136,79 +132,77 @@
 	return a.proven
 }
 
-// mends returns how many other paths the attempt was given.
-func (a *attempt) mends() int {
+func (a *attempt) rerouteCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.mended
+	return a.reroutes
 }
 
-// count returns how many events have come.
-func (a *attempt) count() int {
+func (a *attempt) eventCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.events
 }
 
-func (a *attempt) route() route {
+func (a *attempt) currentPath() targetPath {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.path
 }
 
-// flow returns the attempt as the search for a dead engine sees it; one that passes no
-// engine says nothing.
+// flow returns the attempt as input for the search for stalled engines; the result is false for an
+// attempt that passes no engine.
 func (a *attempt) flow() (pkstall.Flow, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.asFlow(), len(a.path.hops) > 0
+	return a.flowLocked(), len(a.path.hops) > 0
 }
 
-func (a *attempt) asFlow() pkstall.Flow {
+func (a *attempt) flowLocked() pkstall.Flow {
 	return pkstall.Flow{
-		Path: a.path.ids(), Begun: a.events > 0, Last: a.last, Pause: a.pause,
+		Path: a.path.targetIDs(), Begun: a.events > 0, Last: a.lastEventAt, Pause: a.meanPause,
 		Most: a.call.route.PauseObjective, First: a.call.route.Objective,
 	}
 }
 
-// wants returns the target that the attempt should pass no more, if there is one.
-func (a *attempt) wants(now time.Time) (*pkreplica.Target, string) {
+// needsReroute returns the target that the attempt must leave and the reason, or nil.
+func (a *attempt) needsReroute(now time.Time) (*pkreplica.Target, string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.mending || a.over || (a.mended >= mendMost && !a.again) || now.Before(a.triedUntil) {
+	if a.rerouting || a.ended || (a.reroutes >= maxReroutes && !a.canRetry) || now.Before(a.rerouteNotBefore) {
 		return nil, ""
 	}
-	silent := a.asFlow().Silent(now)
+	silent := a.flowLocked().Silent(now)
 	for i, t := range a.path.targets {
 		latest, found := a.call.roster.Target(t.ID)
 		switch {
 		case t.IsGone(now), silent && t.IsDead(now):
-			a.mending = true
-			return t, whyDead
-		case i > 0 && found && a.call.roster.LeavingFor(now, latest) > a.patience:
-			a.mending = true
-			return t, whyLeaving
+			a.rerouting = true
+			return t, reasonDead
+		case i > 0 && found && a.call.roster.LeavingFor(now, latest) > a.drainDelay:
+			a.rerouting = true
+			return t, reasonLeaving
 		}
 	}
 	return nil, ""
 }
 
-// staysWith says whether an attempt is given another path around a target rather than sent again:
-// it may not be sent again, or the engines beside a dead one take its place.
-func (a *attempt) staysWith(now time.Time, t *pkreplica.Target, by route, why string) bool {
-	return !a.again || (why == whyDead && a.near(now, t, by))
+// prefersInPlace reports whether an attempt should change its path in place rather than be sent
+// again: it has no retry left, or a dead engine has a local replacement.
+func (a *attempt) prefersInPlace(now time.Time, t *pkreplica.Target, by targetPath, reason string) bool {
+	return !a.canRetry || (reason == reasonDead && a.isLocalDetour(now, t, by))
 }
 
-// near says whether a detour stays in the data centre of the dead engine that it leads
-// around, and no other engine of the path is dead. Through a pipe all tokens so far would
-// pass there and back: when 32 streams did so at once, each stood still for half a second.
-func (a *attempt) near(now time.Time, dead *pkreplica.Target, by route) bool {
+// isLocalDetour reports whether a detour stays in the data centre of the dead engine that it
+// replaces and no other engine of the path is dead. A remote detour would transfer all tokens so
+// far through a pipe, there and back.
+func (a *attempt) isLocalDetour(now time.Time, dead *pkreplica.Target, by targetPath) bool {
 	for _, t := range by.targets {
 		if t.DataCenter != dead.DataCenter {
 			return false
 		}
 	}
-	for _, t := range a.route().targets {
+	for _, t := range a.currentPath().targets {
 		if t.ID != dead.ID && t.IsDead(now) {
 			return false
 		}
@@ -216,23 +210,21 @@
 	return true
 }
 
-// stay lets the attempt keep its path for now.
-func (a *attempt) stay() {
+// keepPath leaves a draining target in the path until the next try.
+func (a *attempt) keepPath() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.mending = false
-	a.patience += stayPause
+	a.rerouting = false
+	a.drainDelay += rerouteRetryDelay
 }
 
-// tryLater lets an attempt that found no other path at now keep its own. To give it up would
-// break the answer off for certain. Engines that live after all go on, and a dead one ends the
-// stream itself, but only after seconds. There may be room elsewhere before: tried four times
-// at once and then no more, one stream in ten with a dead engine stood still until its caller
-// left.
-func (a *attempt) tryLater(now time.Time) {
+// deferReroute keeps the path of an attempt that found no alternative at now and schedules the next
+// try. Ending the attempt would break off the answer for certain, while its engines may recover or
+// capacity may become free before the dead one ends the stream.
+func (a *attempt) deferReroute(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.mending = false
-	a.triedUntil = now.Add(stayPause)
-	a.patience += stayPause
+	a.rerouting = false
+	a.rerouteNotBefore = now.Add(rerouteRetryDelay)
+	a.drainDelay += rerouteRetryDelay
 }
--- a/pkedge/bench_test.go
+++ b/pkedge/bench_test.go
@@ -12,15 +12,14 @@
 	"peridotknot.example/platform/platformtest"
 )
 
-// processorTime returns the processor time of this process.
 func processorTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	assert.NilError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkStream passes streams of 100 events on and reports the processor time of
-// an event; the stand-in and the caller are in it.
+// BenchmarkStream forwards streams of 100 events and reports the processor time per event,
+// including the stand-in and the caller.
 func BenchmarkStream(b *testing.B) {
 	w := platformtest.NewWorld()
 	b.Cleanup(w.Close)
@@ -47,7 +46,7 @@
 	b.ReportMetric(float64((processorTime(b)-began).Microseconds())/float64(count*atOnce*length), "us/event")
 }
 
-// BenchmarkPlain passes calls to a plain service on.
+// BenchmarkPlain forwards calls to a plain service.
 func BenchmarkPlain(b *testing.B) {
 	w := platformtest.NewWorld()
 	b.Cleanup(w.Close)
--- a/pkedge/call.go
+++ b/pkedge/call.go
@@ -194,7 +194,7 @@
 	late := ctx.Err() != nil
 	switch {
 	case errors.Is(cause, errQuarantined):
-		return c.heldBack(time.Now(), verdict)
+		return c.quarantineRejection(time.Now(), verdict)
 	case verdict == pkverdict.NotRun && late:
 		return &rejection{status: http.StatusServiceUnavailable, retryAfter: retryLate, reason: "deadline_not_run"}
 	case verdict == pkverdict.NotRun:
--- a/pkedge/choose.go
+++ b/pkedge/choose.go
@@ -12,103 +12,104 @@
 )
 
 const (
-	// fullShare is the share of an engine's memory for requests that is given
-	// away. Engines put off the newest request when memory runs out, and answers
-	// are longer than expected as often as shorter.
-	fullShare = 0.9
-	// hurryTokens is over how many tokens the wait for the first one counts where a caller
-	// waits in the middle of an answer: a pause of 100 ms weighs as much as 10 ms a token.
-	hurryTokens = 10.0
-	// unseenPrompts is how many prompts a second of other entries pass through a pipe that are not
-	// known of yet. A token waits for each, and with hubs the word of them is three times as old.
-	// Without this charge streams of many entries left data centres that had room at the same
-	// moment, and paused in the pipes.
-	unseenPrompts = 1.1
-	// hopCost is what one more engine on a path costs a token.
+	// maxMemoryShare is the largest share of an engine's request memory that new requests may fill.
+	// Engines preempt the newest request when memory runs out, and answer lengths are estimates.
+	maxMemoryShare = 0.9
+	// urgentAmortTokens is the number of tokens over which the delay of the first token is spread
+	// for an answer that is already in progress: a pause of 100 ms costs as much as 10 ms per
+	// token.
+	urgentAmortTokens = 10.0
+	// unreportedPromptRate is the assumed rate, in prompts per second, at which other entries send
+	// prompts through a pipe before they report them. Without this charge many entries route around
+	// a busy data centre at the same moment and congest the pipes.
+	unreportedPromptRate = 1.1
+	// hopCost is the cost per token of each additional engine on a path.
 	hopCost = 100 * time.Microsecond
-	// pauseDefault is the longest pause between events where callers have not said which they accept.
-	pauseDefault = 200 * time.Millisecond
+	// defaultMaxPause is the longest acceptable pause between events on routes without a pause
+	// objective.
+	defaultMaxPause = 200 * time.Millisecond
 )
 
-// choosePath returns the cheapest path with room for a request of some tokens that
-// was sent so often before.
-func (d *Daemon) choosePath(now time.Time, s *pkconfig.Service, tokens float64, sends int) (route, bool) {
-	return d.find(now, s, d.wishOf(s, tokens, sends))
+// choosePath returns the cheapest path with room for a request of the given size in tokens; sends
+// is the number of times that it was sent before.
+func (d *Daemon) choosePath(now time.Time, s *pkconfig.Service, tokens float64, sends int) (targetPath, bool) {
+	return d.findPath(now, s, d.newPathQuery(s, tokens, sends))
 }
 
-// wishOf returns what a whole path is wanted for, of a request that was sent so often before.
-func (d *Daemon) wishOf(s *pkconfig.Service, tokens float64, sends int) wish {
-	w := wish{span: s.Engine.All(), tokens: tokens, from: d.settings.DataCenter, share: fullShare, most: mostCost(pauseDefault, s.Engine)}
+// newPathQuery returns the query for a complete path; sends is the number of times that the request
+// was sent before.
+func (d *Daemon) newPathQuery(s *pkconfig.Service, tokens float64, sends int) pathQuery {
+	q := pathQuery{layers: s.Engine.All(), tokens: tokens, from: d.settings.DataCenter, memoryShare: maxMemoryShare, maxCost: maxTokenCost(defaultMaxPause, s.Engine)}
 	if sends > 0 {
-		w.share, w.most, w.hurry = 1, 0, true
+		q.memoryShare, q.maxCost, q.urgent = 1, 0, true
 	}
-	return w
+	return q
 }
 
-// mostCost returns the most that a token of a new request may cost, whose caller accepts a pause
-// between events: beyond it the answer is late as far as is known, and what it takes of full pipes
-// and engines makes others late too. The caller is told when to come back instead.
-func mostCost(pause time.Duration, m *pklayers.Model) time.Duration {
+// maxTokenCost returns the highest path cost per token at which a new request still meets the
+// caller's pause objective. Requests beyond it are refused with a time to retry: they would be late
+// and would slow down others on the same pipes and engines.
+func maxTokenCost(pause time.Duration, m *pklayers.Model) time.Duration {
 	return pause / time.Duration(max(m.EventTokens, 1))
 }
 
-// wish is what a path is wanted for.
-type wish struct {
-	span   pkid.Range
+// pathQuery describes the path to search for.
+type pathQuery struct {
+	layers pkid.Range
 	tokens float64
-	// from is the data centre that the path is reached from, by an entry or, within a
-	// path, by the engine before.
+	// from is the data centre that the path is entered from: that of this entry, or with inPath set
+	// that of the preceding engine.
 	from   pkid.DataCenter
-	within bool
-	// without are targets that it must not use.
-	without []pkid.TargetID
-	// share is how much of an engine's memory may be given away. Requests that
-	// were taken before may have all of it.
-	share float64
-	// most bounds the cost of the path, where it is set.
-	most time.Duration
-	// hurry says that a caller waits for the next event: how soon all tokens are read counts
-	// for more than what each token takes afterwards.
-	hurry bool
-	// lastResort says that the request is refused otherwise: engines that are passed over for a
-	// failure that may not come again are taken too.
+	inPath bool
+	// exclude lists targets that the path must not use.
+	exclude []pkid.TargetID
+	// memoryShare is the share of an engine's request memory that may be filled. Requests that were
+	// sent before may use all of it.
+	memoryShare float64
+	// maxCost bounds the cost of the path per token; zero means no bound.
+	maxCost time.Duration
+	// urgent is set when a caller waits for the next event of an answer in progress: the time until
+	// all tokens are read then weighs more than the time per further token.
+	urgent bool
+	// lastResort also allows targets that are avoided for a possibly transient failure, since the
+	// request would be refused otherwise.
 	lastResort bool
 }
 
-// passes says whether a path may lead over a target at now.
-func (w wish) passes(now time.Time, t *pkreplica.Target) bool {
-	if slices.Contains(w.without, t.ID) {
+// allows reports whether the path may use a target at now.
+func (q pathQuery) allows(now time.Time, t *pkreplica.Target) bool {
+	if slices.Contains(q.exclude, t.ID) {
 		return false
 	}
-	return !t.Avoided(now) || (w.lastResort && !t.Hopeless(now))
+	return !t.Avoided(now) || (q.lastResort && !t.Hopeless(now))
 }
 
-// find returns the cheapest path that grants a wish.
-func (d *Daemon) find(now time.Time, s *pkconfig.Service, w wish) (route, bool) {
+// findPath returns the cheapest path that satisfies a query.
+func (d *Daemon) findPath(now time.Time, s *pkconfig.Service, q pathQuery) (targetPath, bool) {
 	m := s.Engine
-	live := d.engines(now, s.ID, m)
+	live := d.liveEngines(now, s.ID, m)
 	entries := d.entries(now)
 	engines := make([]pklayers.Engine, 0, len(live))
 	for _, t := range live {
-		cost, ok := layerCost(now, m, t, w, entries, d.crowding)
-		if !ok || !w.passes(now, t) {
+		cost, ok := layerCost(now, m, t, q, entries, d.crowding)
+		if !ok || !q.allows(now, t) {
 			continue
 		}
-		if w.hurry {
-			cost += time.Duration(float64(m.ReadTime(t.Kind, 1, w.tokens)) / hurryTokens)
+		if q.urgent {
+			cost += time.Duration(float64(m.ReadTime(t.Kind, 1, q.tokens)) / urgentAmortTokens)
 		}
 		cost = time.Duration(float64(cost) * float64(d.paces.Factor(now, t.ID, t.Born)))
 		engines = append(engines, pklayers.Engine{
 			ID: t.ID, DataCenter: t.DataCenter, Kind: t.Kind, Held: t.Held, Cost: cost,
-			Enter: enter(t.Held.Len(), cost) + time.Duration(float64(t.Backlog(now, entries))/w.waitOver(m)),
+			Enter: batchWait(t.Held.Len(), cost) + time.Duration(float64(t.Backlog(now, entries))/q.amortTokens(m)),
 		})
 	}
-	costs := d.costs(now, m, w)
-	p, found := pklayers.Find(w.span, engines, costs, w.from)
+	costs := d.pathCosts(now, m, q)
+	p, found := pklayers.Find(q.layers, engines, costs, q.from)
 	if !found {
-		return route{}, false
+		return targetPath{}, false
 	}
-	out := route{cost: p.Cost}
+	out := targetPath{cost: p.Cost}
 	for _, part := range p.Parts {
 		at, _ := slices.BinarySearchFunc(live, part.ID, func(t *pkreplica.Target, id pkid.TargetID) int { return cmp.Compare(t.ID, id) })
 		out.add(live[at], part)
@@ -116,64 +117,63 @@
 	return out, true
 }
 
-// engines returns the live engines of a pool at now; one that is listed with layers that the
-// model does not have is none.
-func (d *Daemon) engines(now time.Time, s pkid.ServiceID, m *pklayers.Model) []*pkreplica.Target {
+// liveEngines returns the live engines of a pool at now, without those listed with layers that the
+// model does not have.
+func (d *Daemon) liveEngines(now time.Time, s pkid.ServiceID, m *pklayers.Model) []*pkreplica.Target {
 	return slices.DeleteFunc(d.roster.Live(now, s), func(t *pkreplica.Target) bool { return !m.Has(t.Held) })
 }
 
-// costs returns what it takes to pass between engines at now.
-func (d *Daemon) costs(now time.Time, m *pklayers.Model, w wish) pklayers.Costs {
+// pathCosts returns the costs of passing between engines at now.
+func (d *Daemon) pathCosts(now time.Time, m *pklayers.Model, q pathQuery) pklayers.Costs {
 	entries := d.entries(now)
-	known := map[[2]pkid.DataCenter]time.Duration{}
-	out := pklayers.Costs{Hop: hopCost, Most: w.most, Reach: m.Delay, Crossing: func(a, b pkid.DataCenter) time.Duration {
+	cache := map[[2]pkid.DataCenter]time.Duration{}
+	out := pklayers.Costs{Hop: hopCost, Most: q.maxCost, Reach: m.Delay, Crossing: func(a, b pkid.DataCenter) time.Duration {
 		pair := [2]pkid.DataCenter{a, b}
-		cost, found := known[pair]
+		cost, found := cache[pair]
 		if !found {
 			own := d.pipes.Own(now, a, b)
 			cost = m.Delay(a, b) + m.PipeCost(own+d.sharing.table.Flow(now, entries, a, b, own))
-			unseen := unseenPrompts * d.sharing.toldAfter().Seconds()
-			cost += time.Duration(unseen * float64(m.TransferTime(float64(m.PromptTokens))))
-			first := m.TransferTime(w.tokens) + d.pipes.Backlog(now, a, b)*time.Duration(entries)
-			cost += time.Duration(float64(first) / w.waitOver(m))
-			known[pair] = cost
+			unreported := unreportedPromptRate * d.sharing.toldAfter().Seconds()
+			cost += time.Duration(unreported * float64(m.TransferTime(float64(m.PromptTokens))))
+			first := m.TransferTime(q.tokens) + d.pipes.Backlog(now, a, b)*time.Duration(entries)
+			cost += time.Duration(float64(first) / q.amortTokens(m))
+			cache[pair] = cost
 		}
 		return cost
 	}}
-	if w.within {
-		out.Reach = nil // the path's engines are reached from one before them
+	if q.inPath {
+		out.Reach = nil // the engines are reached from the preceding one
 	}
 	return out
 }
 
-// waitOver returns over how many tokens the wait for the first one counts.
-func (w wish) waitOver(m *pklayers.Model) float64 {
-	if w.hurry {
-		return hurryTokens
+// amortTokens returns the number of tokens over which the delay of the first token is spread.
+func (q pathQuery) amortTokens(m *pklayers.Model) float64 {
+	if q.urgent {
+		return urgentAmortTokens
 	}
 	return max(float64(m.AnswerTokens), 1)
 }
 
-// enter returns how long a token waits for an engine to take it up: an engine runs
-// what has come in passes over its layers, and a token comes in the middle of one.
-// Without this, paths changed engines for the sake of one or two layers; each such
-// change cost an answer 3 ms an event.
-func enter(held int, layer time.Duration) time.Duration {
+// batchWait returns how long a token waits on average for an engine to take it up: the engine runs
+// batches over its layers, and a token arrives in the middle of one. Without this cost paths change
+// engines to save one or two layers.
+func batchWait(held int, layer time.Duration) time.Duration {
 	return time.Duration(held) * layer / 2
 }
 
-// layerCost returns the time that a layer takes at an engine for a token, longer
-// the fuller its memory is, and whether it has room for a request.
-func layerCost(now time.Time, m *pklayers.Model, t *pkreplica.Target, w wish, entries int, crowding pklayers.Crowding) (time.Duration, bool) {
+// layerCost returns the time that an engine takes per token and layer, which grows as its memory
+// fills, and whether it has room for the request.
+func layerCost(now time.Time, m *pklayers.Model, t *pkreplica.Target, q pathQuery, entries int, crowding pklayers.Crowding) (time.Duration, bool) {
 	held := t.Held.Len()
 	if held == 0 {
 		return 0, false
 	}
 	room := m.Room(t.Kind, held) * float64(held)
-	used := t.Likely(now, entries) + w.tokens*float64(held)
-	full := used / room
-	if room <= 0 || full > w.share {
+	used := t.Likely(now, entries) + q.tokens*float64(held)
+	fill := used / room
+	if room <= 0 || fill > q.memoryShare {
 		return 0, false
 	}
-	return time.Duration(float64(m.StepTime(t.Kind, 1)) * crowding(full)), true
+	return time.Duration(float64(m.StepTime(t.Kind, 1)) * crowding(fill)), true
 }
--- a/pkedge/choose_test.go
+++ b/pkedge/choose_test.go
@@ -11,14 +11,13 @@
 	"peridotknot.example/pklayers"
 )
 
-// A faster engine stands in another data centre, and home has room. Many entries that know of
-// one another's prompts only half a second later all lead their streams there, and all of them
-// wait in the pipe. A path must leave its data centre only where home is filling up, and the
-// sooner the fresher the word of the others is.
-func TestAPathStaysAtHomeWhileThereIsRoom(t *testing.T) {
+// Guards against many entries that route their streams at the same moment to a faster engine in
+// another data centre and congest the pipe, while their own data centre has room. With fresher load
+// reports paths may leave it sooner.
+func TestPathStaysInItsDataCenterWhileThereIsRoom(t *testing.T) {
 	for _, row := range []struct {
 		hubs bool
-		// used is the share of the memory of home's engine that requests hold.
+		// used is the share of the memory of the local engine that requests hold.
 		used    float64
 		crosses bool
 	}{
@@ -39,14 +38,14 @@
 		d.target(t, "b").Begin(now.Add(-time.Minute), row.used*full, 0, time.Millisecond)
 		p, found := d.choosePath(now, s, 900, 0)
 		assert.Assert(t, found)
-		crossed := p.find(pkid.TargetID("far")) >= 0
+		crossed := p.index(pkid.TargetID("far")) >= 0
 		assert.Equal(t, crossed, row.crosses, "%+v: %s, %v a token", row, p, p.cost)
 	}
 }
 
-// Guards against new requests that are taken on though each of their events would be later than the caller
-// accepts, and that slow all others down, where an event holds several tokens.
-func TestARequestIsRefusedWhereItsEventsWouldBeLate(t *testing.T) {
+// Guards against accepting new requests whose events would be later than the caller accepts and
+// would slow down all others, also if an event holds several tokens.
+func TestRequestIsRefusedIfItsEventsWouldBeLate(t *testing.T) {
 	const pause = 250 * time.Millisecond
 	slow := engine("slow", "a", 0, 80)
 	for _, row := range []struct {
--- a/pkedge/control_test.go
+++ b/pkedge/control_test.go
@@ -57,8 +57,8 @@
 	d, _ = poolDaemon()
 	d.started = start
 	assert.Assert(t, !d.mayAcquire(start.Add(time.Minute)))
-	assert.Assert(t, !d.mayAcquire(start.Add(time.Minute+ownerAbsent-1)))
-	assert.Assert(t, d.mayAcquire(start.Add(time.Minute+ownerAbsent)))
+	assert.Assert(t, !d.mayAcquire(start.Add(time.Minute+takeoverDelay-1)))
+	assert.Assert(t, d.mayAcquire(start.Add(time.Minute+takeoverDelay)))
 	d.led(start.Add(2 * time.Minute))
 	assert.Assert(t, !d.mayAcquire(start.Add(2*time.Minute)))
 	assert.Assert(t, !d.mayAcquire(start.Add(3*time.Minute)), "the wait begins anew")
@@ -90,13 +90,13 @@
 		look := func(looks int) int {
 			before := store.writes
 			for range looks {
-				assert.Assert(t, !d.owns(t.Context()))
-				time.Sleep(ownEvery)
+				assert.Assert(t, !d.ensureOwnership(t.Context()))
+				time.Sleep(reconcileInterval)
 			}
 			return store.writes - before
 		}
 		const looks = 50
-		most := int(looks*(ownEvery+ownJitter)/acquirePause) + 1
+		most := int(looks*(reconcileInterval+acquireJitter)/acquireRetryDelay) + 1
 		writes := look(looks)
 		assert.Assert(t, 0 < writes && writes <= most, "%d writes", writes)
 		_, _ = d.members.kept(pkstore.ErrRefused)
--- a/pkedge/daemon.go
+++ b/pkedge/daemon.go
@@ -68,24 +68,24 @@
 	// crowding is how soon requests turn to slower engines.
 	crowding pklayers.Crowding
 	members  members
-	store    gate
+	store    breaker
 	// watches are those under way at the store.
 	watches pkwait.Group
 	unheard unheard
 	era     eraClock
 	calls   calls
-	// desks are the orders under way by pool; they belong to the loop that owns.
-	desks map[pkid.ServiceID]*pkowner.Desk
-	// ownerless is since when no daemon is known to own; it belongs to the loop that owns.
-	ownerless time.Time
-	// acquireNext is when this daemon may try again to become the owner; it belongs to the same
-	// loop.
-	acquireNext time.Time
+	// pendingOrders are the orders in progress by pool; only reconcilePools uses them.
+	pendingOrders map[pkid.ServiceID]*pkowner.Desk
+	// ownerlessSince is since when no owner is known; only reconcilePools uses it.
+	ownerlessSince time.Time
+	// nextAcquire is when this daemon may try again to become the owner; only reconcilePools uses
+	// it.
+	nextAcquire time.Time
 	budgets     budgets
 	sharing     sharing
-	streams     streams
-	// doubts are engines to be asked whether they live and stay.
-	doubts chan doubt
+	streams     attemptSet
+	// refusedEngines are engines to check for liveness and draining.
+	refusedEngines chan refusedEngine
 	// quarantine is which requests are kept from replicas.
 	quarantine quarantine
 
@@ -110,8 +110,8 @@
 	d := &Daemon{Ports: p, settings: s, log: log, configured: make(chan struct{}), crowding: pklayers.FreeCrowding}
 	d.retry.Store(&s.Retry)
 	d.seeds.Store(&s.Seeds)
-	d.streams.gone = make(chan struct{}, 1)
-	d.doubts = make(chan doubt, mostDoubts)
+	d.streams.wake = make(chan struct{}, 1)
+	d.refusedEngines = make(chan refusedEngine, maxRefusedEngines)
 	d.metrics = newMetrics(d)
 	var err error
 	if d.callers, err = net.Listen("tcp", s.Listen.Callers); err != nil {
@@ -162,7 +162,7 @@
 		peers := &http.Server{Handler: d.peersHandler(inner), ReadHeaderTimeout: readinessTimeout}
 		g.Add(func() error { return untilDone(inner, peers.Serve(d.sharing.listener)) }, func(error) { _ = peers.Close() })
 	}
-	for _, loop := range []func(context.Context){d.followConfig, d.followReplicas, d.followMembers, d.peekConfig, d.keepLease, d.own, d.tellPeers, d.takeLoads, d.mendStreams, d.watchEngines, d.askPaces, d.logCalls, d.settleEnds, d.saveHeld, d.settleDoubts} {
+	for _, loop := range []func(context.Context){d.followConfig, d.followReplicas, d.followMembers, d.peekConfig, d.keepLease, d.reconcilePools, d.tellPeers, d.takeLoads, d.rerouteStreams, d.watchEngines, d.pollPaces, d.logCalls, d.detectCrashes, d.saveQuarantined, d.checkRefusedEngines} {
 		g.Add(func() error { loop(inner); return nil }, func(error) { cancel() })
 	}
 	return g.Run()
--- a/pkedge/doc.go
+++ b/pkedge/doc.go
@@ -1,8 +1,8 @@
-// Package pkedge is the entry daemon on a platform that keeps the configuration and
-// the list of replicas in its store.
+// Package pkedge implements the entry daemon for a platform that keeps the configuration and the
+// list of replicas in its store.
 //
-// A Daemon follows the store, takes callers' requests, chooses targets and paths,
-// sends and, where the verdict allows, sends again. One daemon among all owns the
-// pools of engines by a lease. What speaks the platform's names comes in through
-// Ports; the daemon itself knows none of them.
+// A Daemon follows the store, accepts callers' requests, chooses targets and paths for them, and
+// retries failed sends where the verdict allows it. One daemon of the fleet owns the pools of
+// engines by a lease. The platform's protocols and names are supplied through Ports; the daemon
+// itself is independent of them.
 package pkedge
--- a/pkedge/follower.go
+++ b/pkedge/follower.go
@@ -98,7 +98,7 @@
 		p.at, err = d.changes(ctx, f, p.at)
 		return err
 	}
-	d.store.enter(ctx)
+	d.store.wait(ctx)
 	p.at, err = d.list(ctx, f)
 	return err
 }
@@ -107,7 +107,7 @@
 func (d *Daemon) noteCall(f follower, p *progress, err error) {
 	switch {
 	case err == nil:
-		d.store.answered()
+		d.store.recordSuccess()
 		if p.failures > 0 {
 			p.failures = 0
 			d.log.Info("the store is back", "watch", f.name, "revision", p.at.String())
@@ -122,7 +122,7 @@
 			tell(f.lost)
 		}
 		p.failures++
-		d.store.failed(time.Now())
+		d.store.recordFailure(time.Now())
 	}
 	p.listed = err == nil
 }
--- a/pkedge/front.go
+++ b/pkedge/front.go
@@ -126,8 +126,8 @@
 		return err
 	}
 	c.digest = c.identity().Digest()
-	if c.held(c.began) != nil {
-		return c.heldBack(c.began, pkverdict.NotRun)
+	if c.checkQuarantine(c.began) != nil {
+		return c.quarantineRejection(c.began, pkverdict.NotRun)
 	}
 	ctx, cancel := context.WithDeadline(c.r.Context(), c.deadline)
 	defer cancel()
--- a/pkedge/lease.go
+++ b/pkedge/lease.go
@@ -86,7 +86,7 @@
 		err := d.keepOnce(ctx, &registered)
 		pause = d.leasePause(now, err)
 		if answered(err) {
-			d.store.renewed(time.Now())
+			d.store.recordLeaseRenewal(time.Now())
 		}
 		if err != nil && ctx.Err() == nil {
 			d.log.Warn("the lease was not renewed", "error", err)
--- a/pkedge/list.go
+++ b/pkedge/list.go
@@ -63,7 +63,7 @@
 	for _, addr := range d.roster.Ended() {
 		d.Conns.CloseIdle(addr)
 	}
-	d.streams.look()
+	d.streams.wakeUp()
 }
 
 func (d *Daemon) logReplica(one pkreplica.Record, at pkstore.Revision, source string) {
--- a/pkedge/load_test.go
+++ b/pkedge/load_test.go
@@ -15,38 +15,39 @@
 	"peridotknot.example/pkreplica"
 )
 
-// loadReplay is many entries that choose paths over one pool, each with what it knows itself and
-// with what the others told some time ago. It has a time of its own and sends nothing.
-type loadReplay struct {
-	// entries choose in turn by chance; perSecond requests come in all.
+// loadSim simulates entries that choose paths over one pool, each knowing its own load and the
+// delayed load of the others. It runs on simulated time and sends nothing.
+type loadSim struct {
+	// entries is the number of entries, perSecond the rate of requests over all of them.
 	entries   int
 	perSecond float64
-	lasts     time.Duration
-	// told is how old the word of the others is at most.
-	told time.Duration
-	// crowding is the policy that is tried.
+	duration  time.Duration
+	// reportDelay is the largest age of the other entries' loads.
+	reportDelay time.Duration
+	// crowding is the policy under test.
 	crowding pklayers.Crowding
 }
 
-// replayed is what became of the requests of a replay.
-type replayed struct {
+// simResult is the outcome of a simulation.
+type simResult struct {
 	refused int
-	// mean is how long requests lasted, underWay how many were at the end.
-	mean     time.Duration
-	underWay int
-	// fullest is the largest share of an engine's memory that requests held.
+	// mean is the mean duration of requests, active the number in progress at the end.
+	mean   time.Duration
+	active int
+	// fullest is the largest share of an engine's memory that was in use.
 	fullest float64
 }
 
-// underWay is one request over its path.
-type underWay struct {
-	path   route
+// activeRequest is a request in progress.
+type activeRequest struct {
+	path   targetPath
 	tokens float64
 	ends   time.Time
 }
 
-// shiftedPool is 98 engines of four kinds in three data centres, with requests of 940 tokens.
-func shiftedPool() *pklayers.Model {
+// mixedModel describes a pool of 98 engines of four kinds in three data centres, with requests of
+// 940 tokens.
+func mixedModel() *pklayers.Model {
 	return &pklayers.Model{
 		Layers: 80, LayerMB: 1750, TokenBytes: 393000, ActivationBytes: 19700, PipeMbps: 4100, EngineTokens: 100_000,
 		Step: 850 * time.Microsecond, ReadPerSecond: 294_000, Chunk: 512, PromptTokens: 762, AnswerTokens: 179,
@@ -57,7 +58,7 @@
 	}
 }
 
-func shiftedEngines(m *pklayers.Model) []pkreplica.Info {
+func mixedEngines(m *pklayers.Model) []pkreplica.Info {
 	counts := []struct {
 		dc   pkid.DataCenter
 		kind pkid.Kind
@@ -90,9 +91,9 @@
 	return out
 }
 
-// takes returns how long a request takes over a path: each part costs a token its layers' time and
-// some wait until the engine takes it up, as recorded over a day's streams.
-func takes(m *pklayers.Model, p route) time.Duration {
+// answerTime returns how long an answer takes over a path: per token and engine, the time of its
+// layers and a wait until the engine takes the token up, as in recorded traces.
+func answerTime(m *pklayers.Model, p targetPath) time.Duration {
 	const wait, busy = 740 * time.Microsecond, 1.24
 	token := time.Duration(0)
 	for i, part := range p.parts {
@@ -101,11 +102,11 @@
 	return time.Duration(m.AnswerTokens) * token
 }
 
-// run plays the load and returns what became of it.
-func (l loadReplay) run(seed uint64) replayed {
+// run simulates the load with a seed.
+func (l loadSim) run(seed uint64) simResult {
 	r := rand.New(rand.NewPCG(seed, 3))
-	m := shiftedPool()
-	infos := shiftedEngines(m)
+	m := mixedModel()
+	infos := mixedEngines(m)
 	centers := []pkid.DataCenter{"a", "b", "c"}
 	s := &pkconfig.Service{ID: "models", Engine: m}
 	var daemons []*Daemon
@@ -118,19 +119,19 @@
 		daemons = append(daemons, d)
 	}
 	now := time.Now()
-	end, lastTold := now.Add(l.lasts), now
-	var out replayed
+	end, lastReport := now.Add(l.duration), now
+	var out simResult
 	var all time.Duration
 	served := 0
-	running := make([][]underWay, l.entries)
+	running := make([][]activeRequest, l.entries)
 	for now.Before(end) {
 		now = now.Add(time.Duration(r.ExpFloat64() / l.perSecond * float64(time.Second)))
-		if now.Sub(lastTold) >= l.told {
-			lastTold = now
+		if now.Sub(lastReport) >= l.reportDelay {
+			lastReport = now
 			for i := range running {
-				running[i] = endAll(now, running[i])
+				running[i] = endFinished(now, running[i])
 			}
-			out.fullest = max(out.fullest, tellLoads(m, daemons))
+			out.fullest = max(out.fullest, exchangeLoads(m, daemons))
 		}
 		at := r.IntN(l.entries)
 		d := daemons[at]
@@ -140,32 +141,33 @@
 			out.refused++
 			continue
 		}
-		p.begin(now, m, &d.pipes, tokens, tokens, d.sharing.toldAfter())
-		took := takes(m, p)
+		p.reserve(now, m, &d.pipes, tokens, tokens, d.sharing.toldAfter())
+		took := answerTime(m, p)
 		all += took
 		served++
-		running[at] = append(running[at], underWay{path: p, tokens: tokens, ends: now.Add(took)})
+		running[at] = append(running[at], activeRequest{path: p, tokens: tokens, ends: now.Add(took)})
 	}
 	for _, one := range running {
-		out.underWay += len(endAll(now, one))
+		out.active += len(endFinished(now, one))
 	}
 	out.mean = all / time.Duration(max(served, 1))
 	return out
 }
 
-// endAll ends the requests whose time has come and returns the others.
-func endAll(now time.Time, all []underWay) []underWay {
-	return slices.DeleteFunc(all, func(u underWay) bool {
+// endFinished ends the requests that are due at now and returns the others.
+func endFinished(now time.Time, all []activeRequest) []activeRequest {
+	return slices.DeleteFunc(all, func(u activeRequest) bool {
 		if now.Before(u.ends) {
 			return false
 		}
-		u.path.done(u.tokens)
+		u.path.release(u.tokens)
 		return true
 	})
 }
 
-// tellLoads tells each entry what all others hold and returns how full the fullest engine is.
-func tellLoads(m *pklayers.Model, daemons []*Daemon) float64 {
+// exchangeLoads reports the load of all other entries to each entry, and returns the share in use
+// of the fullest engine.
+func exchangeLoads(m *pklayers.Model, daemons []*Daemon) float64 {
 	sum := map[pkid.TargetID]float64{}
 	for _, d := range daemons {
 		for _, t := range d.roster.All() {
@@ -182,18 +184,16 @@
 	return fullest
 }
 
-// A pool whose fast engines could take most of a load by their time and memory serves 190 requests
-// a second through 67 entries. Turned away from fast engines that were half full, or taken for it
-// since what an entry began counts for all others, requests went over engines four times as slow:
-// they lasted longer, and more were lost with each entry or engine that ended. The policy in force must
-// keep them short and refuse none, and give no more memory away than what is not known of yet.
-func TestRequestsStayOnFastEnginesWhileTheyHaveRoom(t *testing.T) {
-	load := loadReplay{entries: 67, perSecond: 190, lasts: 8 * time.Second, told: 450 * time.Millisecond}
+// Guards against a load policy that moves requests off fast engines which still have room: they
+// would take much longer on slow ones. The policy in force must be faster than the early one,
+// refuse nothing, and overcommit memory by no more than the unreported requests.
+func TestRequestsStayOnFastEnginesWhileThereIsRoom(t *testing.T) {
+	load := loadSim{entries: 67, perSecond: 190, duration: 8 * time.Second, reportDelay: 450 * time.Millisecond}
 	early, free := load, load
 	early.crowding, free.crowding = pklayers.EarlyCrowding, pklayers.FreeCrowding
-	// What a data centre begins until all know of it may come on top of what is given away.
-	unseen := load.perSecond / 3 * load.told.Seconds() * 940
-	most := fullShare + unseen/float64(shiftedPool().EngineTokens)
+	// Requests of a data centre that are not yet reported may come on top of the limit.
+	unreported := load.perSecond / 3 * load.reportDelay.Seconds() * 940
+	most := maxMemoryShare + unreported/float64(mixedModel().EngineTokens)
 	for seed := range uint64(3) {
 		before, after := early.run(seed), free.run(seed)
 		t.Logf("seed %d: early %+v, free %+v", seed, before, after)
--- a/pkedge/members.go
+++ b/pkedge/members.go
@@ -103,7 +103,7 @@
 		paceMost: membersPaceMost,
 		list: func(items []pkstore.Item, _ pkstore.Revision) {
 			now := time.Now()
-			d.takeSaved(now, items)
+			d.loadSaved(now, items)
 			m.mu.Lock()
 			defer m.mu.Unlock()
 			m.owner, m.ownerRevision, m.ownRevision, m.known, m.told = "", 0, 0, true, 0
@@ -122,7 +122,7 @@
 		},
 		change: func(events []pkstore.Event, _ pkstore.Revision) {
 			now := time.Now()
-			d.takeSaved(now, written(events))
+			d.loadSaved(now, written(events))
 			m.mu.Lock()
 			defer m.mu.Unlock()
 			for _, ev := range events {
--- a/pkedge/pace_test.go
+++ b/pkedge/pace_test.go
@@ -10,14 +10,14 @@
 	"peridotknot.example/platform/platformtest"
 )
 
-// slowPoolStreams is how many streams in a row show which engines are used.
-const slowPoolStreams = 12
+// streamsPerRound is the number of consecutive streams that show which engines are used.
+const streamsPerRound = 12
 
-// firsts returns the first engines of some streams, one after the other.
-func (n *node) firsts(t *testing.T, w *platformtest.World, round string) map[string]bool {
+// firstEngines returns the first engines of consecutive streams.
+func (n *node) firstEngines(t *testing.T, w *platformtest.World, round string) map[string]bool {
 	t.Helper()
 	out := map[string]bool{}
-	for i := range slowPoolStreams {
+	for i := range streamsPerRound {
 		id := fmt.Sprintf("%s-%d", round, i)
 		assert.Equal(t, n.do(t, http.MethodPost, "/talk/1", id, platformtest.Key, 2).status, http.StatusOK)
 		for engine := range runsAt(w, id) {
@@ -27,11 +27,10 @@
 	return out
 }
 
-// Some engines take twelve times as long as their kind, for some seconds, and say so in their
-// reports. Prompts stand in line there while others have room, and answers are late. All entries
-// must learn of it, also those that ask no engine themselves, choose other engines, and use those
-// again once they are sound.
-func TestStreamsPassOverSlowEngines(t *testing.T) {
+// Guards against paths over engines that are much slower than their kind for some seconds. All
+// entries, also those that poll no engine themselves, must avoid such an engine and use it again
+// once it has recovered.
+func TestStreamsAvoidSlowEngines(t *testing.T) {
 	t.Parallel()
 	w, engines := pool(t)
 	near := start(t, w, "n-near")
@@ -39,7 +38,7 @@
 	near.streams(t)
 	far.streams(t)
 	first := ""
-	for first = range near.firsts(t, w, "before") {
+	for first = range near.firstEngines(t, w, "before") {
 		break
 	}
 	engines[first].Slow(12)
@@ -47,12 +46,12 @@
 		round := 0
 		eventually(t, "streams without the slow engine", func() bool {
 			round++
-			return !n.firsts(t, w, fmt.Sprintf("slow-%s-%d", n.Callers(), round))[first]
+			return !n.firstEngines(t, w, fmt.Sprintf("slow-%s-%d", n.Callers(), round))[first]
 		})
 		assert.Equal(t, n.metric(t, "peridotknot_slow_engines"), "1")
 	}
 	engines[first].Slow(1)
 	for _, n := range []*node{near, far} {
-		eventually(t, "word of the sound engine", func() bool { return n.metric(t, "peridotknot_slow_engines") == "0" })
+		eventually(t, "the recovered engine", func() bool { return n.metric(t, "peridotknot_slow_engines") == "0" })
 	}
 }
--- a/pkedge/peek.go
+++ b/pkedge/peek.go
@@ -56,7 +56,7 @@
 func (d *Daemon) peekConfig(ctx context.Context) {
 	var seen pkstore.Revision
 	pktimer.Every(ctx, peekEvery, func(ctx context.Context) {
-		if !d.sharing.first.Load() || d.book.Table() == nil || d.store.lost() {
+		if !d.sharing.first.Load() || d.book.Table() == nil || d.store.isOpen() {
 			return
 		}
 		at, err := d.Feed.Reached(ctx)
--- a/pkedge/plain.go
+++ b/pkedge/plain.go
@@ -58,7 +58,7 @@
 	verdict := pkverdict.NotRun
 	var cause error
 	for c.sends < maxSends && ctx.Err() == nil {
-		if held := c.held(time.Now()); held != nil {
+		if held := c.checkQuarantine(time.Now()); held != nil {
 			cause = held
 			break
 		}
@@ -69,10 +69,10 @@
 		c.sends++
 		a, body, err := c.once(ctx, t)
 		if err == nil {
-			c.ranWell(time.Now())
+			c.recordSuccess(time.Now())
 			return c.pass(a, body)
 		}
-		c.brokeOff(time.Now(), err, t)
+		c.suspectFailedSend(time.Now(), err, t)
 		cause = err
 		verdict = pkverdict.Join(verdict, c.note(t, err))
 		if verdict != pkverdict.NotRun && a != nil && c.sends >= c.route.MaxAttempts {
@@ -222,7 +222,7 @@
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		return until
 	}
-	until = now.Add(suspectPause)
+	until = now.Add(suspectTTL)
 	d.suspect(t, until, err)
 	return until
 }
--- a/pkedge/poison_test.go
+++ b/pkedge/poison_test.go
@@ -13,80 +13,80 @@
 )
 
 const (
-	// quarantined is the metric of requests that an entry keeps from replicas.
-	quarantined = "peridotknot_quarantined_requests"
-	// mostEnded is how many replicas a poison request may end: three show what it is, and the
-	// attempt that ends the third may have one more send under way.
-	mostEnded = 4
+	// quarantinedMetric is the number of requests that an entry keeps from replicas.
+	quarantinedMetric = "peridotknot_quarantined_requests"
+	// maxEnded is how many replicas a poison request may crash: three until it is quarantined, and
+	// one more by a send in progress.
+	maxEnded = 4
 )
 
-// poisonRequest is a request that crashes what runs it and comes to entries again and again.
+// poisonRequest is a request that crashes each replica that runs it, sent again and again.
 type poisonRequest struct {
 	w       *platformtest.World
 	service string
 	uri     string
 	tokens  int
-	// sent counts how often it came, replaced the replicas that others have taken the place of.
+	// sent counts the sends, replaced the crashed replicas that were replaced.
 	sent     int
 	replaced int
 }
 
-// send sends the request to an entry under a new id, and brings replicas that it ended back
-// under new ids.
-func (o *poisonRequest) send(t *testing.T, n *node) reply {
+// send sends the request to an entry under a new request id, and replaces the replicas that it
+// crashed by new ones.
+func (p *poisonRequest) send(t *testing.T, n *node) reply {
 	t.Helper()
-	o.sent++
+	p.sent++
 	method, body := http.MethodGet, ""
-	if o.tokens > 0 {
+	if p.tokens > 0 {
 		method, body = http.MethodPost, "the same each time"
 	}
-	got := n.doWith(t, patience, method, o.uri, fmt.Sprintf("poison-%d", o.sent), platformtest.Key, o.tokens, body)
-	for _, id := range o.w.Ended()[o.replaced:] {
-		o.replaced++
-		o.w.Store.Delete("servers/" + id)
-		o.w.Add(o.service, fmt.Sprintf("again-%d", o.replaced), "a")
+	got := n.doWith(t, patience, method, p.uri, fmt.Sprintf("poison-%d", p.sent), platformtest.Key, p.tokens, body)
+	for _, id := range p.w.Ended()[p.replaced:] {
+		p.replaced++
+		p.w.Store.Delete("servers/" + id)
+		p.w.Add(p.service, fmt.Sprintf("again-%d", p.replaced), "a")
 	}
 	return got
 }
 
-// spread sends the request to one entry after the other until it has ended three replicas, and
-// waits until all entries keep it from replicas.
-func (o *poisonRequest) spread(t *testing.T, nodes ...*node) {
+// crashReplicas sends the request to the entries in turn until it has crashed three replicas, and
+// waits until all entries have quarantined it.
+func (p *poisonRequest) crashReplicas(t *testing.T, nodes ...*node) {
 	t.Helper()
-	for i := 0; len(o.w.Ended()) < 3; i++ {
+	for i := 0; len(p.w.Ended()) < 3; i++ {
 		n := nodes[i%len(nodes)]
-		if o.tokens > 0 {
+		if p.tokens > 0 {
 			n.streams(t)
 		}
-		o.send(t, n)
-		assert.Assert(t, i < 20, "it does not reach replicas")
+		p.send(t, n)
+		assert.Assert(t, i < 20, "the request does not reach replicas")
 	}
-	o.held(t, nodes...)
+	p.waitQuarantined(t, nodes...)
 }
 
-// held waits until entries keep the request from replicas; the checks that follow fail where they
-// do not.
-func (o *poisonRequest) held(t *testing.T, nodes ...*node) {
+// waitQuarantined waits until the entries have quarantined the request; on a timeout the checks
+// that follow fail.
+func (p *poisonRequest) waitQuarantined(t *testing.T, nodes ...*node) {
 	t.Helper()
 	end := time.Now().Add(patience)
 	for _, n := range nodes {
-		for n.metric(t, quarantined) != "1" && time.Now().Before(end) {
+		for n.metric(t, quarantinedMetric) != "1" && time.Now().Before(end) {
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
 }
 
-// refused checks that entries refuse the request as one that has not run, and that it ends no
-// replica any more.
-func (o *poisonRequest) refused(t *testing.T, nodes ...*node) {
+// assertRefused checks that the entries refuse the request as not run and that it crashes no
+// further replica.
+func (p *poisonRequest) assertRefused(t *testing.T, nodes ...*node) {
 	t.Helper()
-	before := len(o.w.Ended())
+	before := len(p.w.Ended())
 	var answers []reply
 	for _, n := range nodes {
-		answers = append(answers, o.send(t, n))
+		answers = append(answers, p.send(t, n))
 	}
-	assert.Assert(t, len(o.w.Ended()) <= mostEnded, "%d replicas ended", len(o.w.Ended()))
-	assert.Equal(t, len(o.w.Ended()), before)
+	assert.Assert(t, len(p.w.Ended()) <= maxEnded, "%d replicas ended", len(p.w.Ended()))
+	assert.Equal(t, len(p.w.Ended()), before)
 	for _, got := range answers {
 		assert.NilError(t, got.err)
 		assert.Equal(t, got.status, http.StatusServiceUnavailable)
@@ -96,8 +96,8 @@
 	}
 }
 
-// meet waits until entries hear of one another.
-func meet(t *testing.T, nodes ...*node) {
+// waitForPeers waits until the entries know each other.
+func waitForPeers(t *testing.T, nodes ...*node) {
 	t.Helper()
 	for _, n := range nodes {
 		eventually(t, "readiness", func() bool { return n.isReady(t) })
@@ -105,36 +105,31 @@
 	}
 }
 
-// A request crashes each engine that begins to run it, and its caller sends it again and again,
-// to any entry. Each entry took the crash for the engine's failure and sent the request on to the
-// next engine; the next entry began anew. Three times a day twelve engines ended so, one under it
-// each 0.3 s while any lived: "an engine's process is gone" for i-49928b0584 at 37.76 s,
-// i-4d45143602 at 38.05 s and i-f00f45c30e at 38.37 s, and 192 sends of others with them. Once
-// three engines have ended, no entry may send it to another.
-func TestARequestThatCrashesEnginesIsNotSentOn(t *testing.T) {
+// Guards against a request that crashes engine after engine because each entry takes the crash for
+// a fault of the engine and retries elsewhere. After three crashes no entry may send it to an
+// engine.
+func TestRequestThatCrashesEnginesIsQuarantined(t *testing.T) {
 	t.Parallel()
 	w, _ := pool(t)
 	one, two := start(t, w, "one"), start(t, w, "two")
-	meet(t, one, two)
-	o := &poisonRequest{w: w, service: platformtest.Pool, uri: "/talk/poison", tokens: 5}
-	w.Poison(o.uri)
-	o.spread(t, one, two)
-	o.refused(t, one, two)
+	waitForPeers(t, one, two)
+	p := &poisonRequest{w: w, service: platformtest.Pool, uri: "/talk/poison", tokens: 5}
+	w.Poison(p.uri)
+	p.crashReplicas(t, one, two)
+	p.assertRefused(t, one, two)
 
 	one.streams(t)
 	got := two.do(t, http.MethodPost, "/talk/2", "sound", platformtest.Key, 3)
-	assert.Equal(t, got.body, events(3), "the same caller's other requests")
+	assert.Equal(t, got.body, events(3), "another request of the same caller")
 }
 
-// Twelve streams of other callers are under way when a poison request ends the engines that they
-// begin at, one after the other; some are cut twice and come again. They met as many crashes as
-// the request that is to blame. Each must be served, then or when it comes again: refused for what
-// another's request did, its caller would have lost it for ten minutes.
-func TestCallersBesideAPoisonRequestAreServed(t *testing.T) {
+// Guards against refusing other callers whose streams ran on the crashed engines, some of them on
+// two in a row: each must be served, if need be when it is sent again.
+func TestOtherStreamsSurviveAPoisonRequest(t *testing.T) {
 	t.Parallel()
 	w, _ := pool(t)
 	one, two := start(t, w, "one"), start(t, w, "two")
-	meet(t, one, two)
+	waitForPeers(t, one, two)
 	one.streams(t)
 	two.streams(t)
 	const streams, length = 12, 400
@@ -151,17 +146,17 @@
 	for i := range streams {
 		go func() { answers <- send([]*node{one, two}[i%2], i, 0) }()
 	}
-	eventually(t, "streams under way", func() bool {
+	eventually(t, "streams in progress", func() bool {
 		begun := 0
 		for i := range streams {
 			begun += len(w.Runs(fmt.Sprintf("beside-%d-0", i)))
 		}
 		return begun >= streams
 	})
-	o := &poisonRequest{w: w, service: platformtest.Pool, uri: "/talk/poison", tokens: 5}
-	w.Poison(o.uri)
-	o.spread(t, one, two)
-	o.refused(t, one, two)
+	p := &poisonRequest{w: w, service: platformtest.Pool, uri: "/talk/poison", tokens: 5}
+	w.Poison(p.uri)
+	p.crashReplicas(t, one, two)
+	p.assertRefused(t, one, two)
 	for range streams {
 		got := <-answers
 		for again := 1; got.reply.err != nil || got.reply.status != http.StatusOK; again++ {
@@ -172,13 +167,13 @@
 		assert.Equal(t, got.reply.body, events(length))
 	}
 	for _, n := range []*node{one, two} {
-		assert.Equal(t, n.metric(t, quarantined), "1", "only the poison request is kept from engines")
+		assert.Equal(t, n.metric(t, quarantinedMetric), "1", "only the poison request is quarantined")
 	}
 }
 
-// plainPoison returns a plain service and two entries at which a poison call has ended three
-// replicas of it.
-func plainPoison(t *testing.T) (w *platformtest.World, o *poisonRequest, one, two *node) {
+// quarantinedPlainRequest returns a plain service, two entries, and a call that is quarantined at
+// both after crashing three replicas.
+func quarantinedPlainRequest(t *testing.T) (w *platformtest.World, p *poisonRequest, one, two *node) {
 	t.Helper()
 	w = platformtest.NewWorld()
 	t.Cleanup(w.Close)
@@ -186,31 +181,31 @@
 		w.Add(platformtest.App, id, "a")
 	}
 	one, two = start(t, w, "one"), start(t, w, "two")
-	meet(t, one, two)
-	o = &poisonRequest{w: w, service: platformtest.App, uri: "/read/poison"}
-	w.Poison(o.uri)
-	o.spread(t, one, two)
-	return w, o, one, two
+	waitForPeers(t, one, two)
+	p = &poisonRequest{w: w, service: platformtest.App, uri: "/read/poison"}
+	w.Poison(p.uri)
+	p.crashReplicas(t, one, two)
+	return w, p, one, two
 }
 
-// The same with a plain service: its replicas crash under a call that may be repeated.
-func TestARequestThatCrashesPlainReplicasIsNotSentOn(t *testing.T) {
+// The same for a plain service, whose replicas crash under an idempotent call.
+func TestRequestThatCrashesPlainReplicasIsQuarantined(t *testing.T) {
 	t.Parallel()
-	_, o, one, two := plainPoison(t)
-	o.refused(t, one, two)
+	_, p, one, two := quarantinedPlainRequest(t)
+	p.assertRefused(t, one, two)
 	assert.Equal(t, one.do(t, http.MethodGet, "/read/1", "sound", platformtest.Key, 0).status, http.StatusOK)
 }
 
-// The entries that have seen the crashes stop, one by one or all at once, and others start. A
-// fresh entry that does not know of the poison request ends three replicas more.
-func TestFreshEntriesKnowOfAPoisonRequest(t *testing.T) {
+// Guards against losing the quarantine when the entries that saw the crashes stop, one by one or
+// all at once: entries that start later must load it.
+func TestNewEntriesLoadTheQuarantine(t *testing.T) {
 	t.Parallel()
-	w, o, one, two := plainPoison(t)
+	w, p, one, two := quarantinedPlainRequest(t)
 
 	third := start(t, w, "three")
-	o.held(t, third)
-	o.refused(t, third)
-	eventually(t, "that the store keeps it", func() bool { return w.Store.Revision("peridotknot/quarantine/") > 0 })
+	p.waitQuarantined(t, third)
+	p.assertRefused(t, third)
+	eventually(t, "the quarantined request in the store", func() bool { return w.Store.Revision("peridotknot/quarantine/") > 0 })
 	for _, n := range []*node{one, two, third} {
 		n.stop()
 		err := <-n.ended
@@ -218,6 +213,6 @@
 		assert.NilError(t, err)
 	}
 	fourth := start(t, w, "four")
-	o.held(t, fourth)
-	o.refused(t, fourth)
+	p.waitQuarantined(t, fourth)
+	p.assertRefused(t, fourth)
 }
--- a/pkedge/quarantine.go
+++ b/pkedge/quarantine.go
@@ -21,69 +21,68 @@
 )
 
 const (
-	// settleWithin is how soon after a request broke off its replica must be known to be gone
-	// for the request to be suspected. Other entries' word on it takes a second in large
-	// fleets, and one that crashed is away for some seconds.
-	settleWithin = 2 * time.Second
-	// settleEvery is how often that is looked for.
-	settleEvery = 50 * time.Millisecond
-	// probeAfter is how long others' word on a replica is waited for until this entry asks itself.
-	probeAfter = 100 * time.Millisecond
-	// probeTimeout bounds that question, a connection that is refused or not.
+	// crashWindow is the time after an interrupted send within which its replica must be found gone
+	// for the request to be suspected. Reports from other entries take up to a second in large
+	// fleets, and a crashed replica needs some seconds to restart.
+	crashWindow = 2 * time.Second
+	// crashCheckInterval is how often interrupted sends are checked.
+	crashCheckInterval = 50 * time.Millisecond
+	// probeDelay is how long an entry waits for reports about a replica before it probes the
+	// replica itself.
+	probeDelay = 100 * time.Millisecond
+	// probeTimeout bounds the connection attempt of a probe.
 	probeTimeout = 300 * time.Millisecond
-	// mostBroken bounds the sends that broke off and are not settled: an entry at the size to
-	// design for has 200 in progress.
-	mostBroken = 2048
-	// saveEvery is how often held requests are written to the store where it lacks them.
-	saveEvery = time.Second
-	// saveAgain is how soon a write that failed is tried again.
-	saveAgain = 5 * time.Second
-	// heldKey is the prefix of held requests under the daemons' own keys.
-	heldKey = "quarantine/"
+	// maxInterrupted bounds the interrupted sends that are tracked.
+	maxInterrupted = 2048
+	// saveInterval is how often quarantined requests that the store lacks are written to it.
+	saveInterval = time.Second
+	// saveRetryDelay is the delay after a failed write.
+	saveRetryDelay = 5 * time.Second
+	// quarantineKeyPrefix is the prefix of quarantined requests below the daemons' own prefix.
+	quarantineKeyPrefix = "quarantine/"
 )
 
-// quarantine keeps requests from replicas that each replica crashes under; the zero value is
-// empty.
+// quarantine tracks requests that crash the replicas running them, and keeps them from further
+// replicas; the zero value is empty.
 //
-// Remembered by replica alone, such a failure told nothing of the request: each entry that it
-// came to sent it to the next two. It came to one entry after the other, ended twelve engines,
-// and with each of them the 20 to 60 other streams there. So a request is remembered with the
-// replicas that ended under it, by what its caller sent, and all entries share that.
+// Crashes are recorded by the digest of the request and shared among the entries. Otherwise each
+// retry, at whichever entry it arrives, would crash more replicas and interrupt all other streams
+// on them.
 type quarantine struct {
 	table pkquarantine.Table
 
 	mu sync.Mutex
-	// broken are sends that broke off at a replica which may be gone.
-	broken []brokenSend
-	// unsaved are requests that this entry saw a target end under, and that the store lacks as
-	// far as it knows.
+	// interrupted are sends whose replica may have crashed.
+	interrupted []interruptedSend
+	// unsaved are requests for which this entry saw a crash and that the store is not known to
+	// hold.
 	unsaved map[pkquarantine.Digest]bool
 }
 
-// brokenSend is a send that broke off while a target may have run it.
-type brokenSend struct {
+// interruptedSend is a send that ended without an answer after a target may have run it.
+type interruptedSend struct {
 	digest  pkquarantine.Digest
 	request pkid.RequestID
 	target  *pkreplica.Target
-	at      time.Time
-	// direct says that it was sent to the target itself, and not through it.
+	endedAt time.Time
+	// direct is set if the request was sent to the target itself, not through another one.
 	direct bool
 }
 
-// errQuarantined ends a request under which too many replicas have ended.
-var errQuarantined = errors.New("replicas that ran this request have ended")
+// errQuarantined ends a request that has crashed too many replicas.
+var errQuarantined = errors.New("request quarantined: the replicas that ran it have crashed")
 
-// held says whether the request is kept from replicas at now, as a cause to give it up.
-func (c *call) held(now time.Time) error {
+// checkQuarantine returns errQuarantined if the request is quarantined at now.
+func (c *call) checkQuarantine(now time.Time) error {
 	if c.quarantine.table.Left(now, c.digest) > 0 {
 		return errQuarantined
 	}
 	return nil
 }
 
-// heldBack returns the final answer of a request that is kept from replicas. One that a
-// replica may have run in this attempt is not told to be one that has not run.
-func (c *call) heldBack(now time.Time, verdict pkverdict.Verdict) *rejection {
+// quarantineRejection returns the final answer of a quarantined request. The verdict tells whether
+// a replica may have run the request in this attempt.
+func (c *call) quarantineRejection(now time.Time, verdict pkverdict.Verdict) *rejection {
 	out := &rejection{status: http.StatusBadGateway, reason: "quarantined"}
 	if verdict == pkverdict.NotRun {
 		out.status = http.StatusServiceUnavailable
@@ -92,167 +91,167 @@
 	return out
 }
 
-// brokeOff suspects a request whose send to a target ended at now with an error, unless that says
-// that no replica ran it, that one answered, or that the caller has left. Engines that the target
-// passes the request on to don't end the connection with them; suspected here, they ended of
-// another request a moment later, and callers that had met two crashes were refused for three.
-func (c *call) brokeOff(now time.Time, err error, t *pkreplica.Target) {
+// suspectFailedSend records an interrupted send if its error at now may come from a crash of the
+// target: not if no replica ran the request, the target answered, the time was up or the caller has
+// left. Only the target itself is suspected, since the connection does not end with the engines
+// behind it.
+func (c *call) suspectFailedSend(now time.Time, err error, t *pkreplica.Target) {
 	var failure *pkverdict.Error
 	switch {
 	case !errors.As(err, &failure) || failure.Verdict == pkverdict.NotRun:
 	case errors.Is(err, errOwnFailure) || errors.Is(err, errSpoiled):
 	case errors.Is(err, context.DeadlineExceeded) || c.r.Context().Err() != nil:
 	default:
-		c.suspectAt(now, t, true)
+		c.recordInterrupted(now, t, true)
 	}
 }
 
-// suspectAt notes at now that the request broke off at a target. Where that is gone shortly
-// after, it ended under the request. One that leaves ends by itself.
-func (c *call) suspectAt(now time.Time, t *pkreplica.Target, direct bool) {
+// recordInterrupted records at now that the send was interrupted at a target. If the target is
+// found gone within crashWindow, that counts as a crash by the request, unless the target was
+// draining and ended by itself.
+func (c *call) recordInterrupted(now time.Time, t *pkreplica.Target, direct bool) {
 	if t.Leaving || c.roster.LeavingFor(now, t) > 0 {
 		return
 	}
 	q := &c.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.broken) < mostBroken {
-		q.broken = append(q.broken, brokenSend{digest: c.digest, request: c.req.Ask.ID, target: t, at: now, direct: direct})
+	if len(q.interrupted) < maxInterrupted {
+		q.interrupted = append(q.interrupted, interruptedSend{digest: c.digest, request: c.req.Ask.ID, target: t, endedAt: now, direct: direct})
 	}
 }
 
-// ranWell notes at now that replicas bear the request.
-func (c *call) ranWell(now time.Time) {
+// recordSuccess records at now that replicas can run the request, which clears its crashes.
+func (c *call) recordSuccess(now time.Time) {
 	if c.quarantine.table.Ran(now, c.digest) {
-		c.log.Info("a suspected request ran well", "request_id", c.req.Ask.ID, "digest", c.digest.String())
+		c.log.Info("suspected request completed, its crashes are cleared", "request_id", c.req.Ask.ID, "digest", c.digest.String())
 	}
 }
 
-// settleEnds finds out which targets ended under requests that broke off.
-func (d *Daemon) settleEnds(ctx context.Context) {
+// detectCrashes finds the targets that crashed while running a request.
+func (d *Daemon) detectCrashes(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	pktimer.Every(ctx, settleEvery, func(ctx context.Context) {
-		for _, t := range d.settle(time.Now()) {
+	pktimer.Every(ctx, crashCheckInterval, func(ctx context.Context) {
+		for _, t := range d.checkInterrupted(time.Now()) {
 			wg.Go(func() { d.probe(ctx, t) })
 		}
 	})
 }
 
-// settle takes what is known at now of the targets of sends that broke off, and returns those
-// that are to be asked whether they are there.
-func (d *Daemon) settle(now time.Time) []*pkreplica.Target {
+// checkInterrupted checks the targets of interrupted sends at now, and returns those to probe.
+func (d *Daemon) checkInterrupted(now time.Time) []*pkreplica.Target {
 	q := &d.quarantine
 	q.mu.Lock()
-	all := q.broken
-	q.broken = nil
+	all := q.interrupted
+	q.interrupted = nil
 	q.mu.Unlock()
-	var open []brokenSend
-	var ask []*pkreplica.Target
-	for _, b := range all {
-		age := now.Sub(b.at)
+	var pending []interruptedSend
+	var probes []*pkreplica.Target
+	for _, send := range all {
+		age := now.Sub(send.endedAt)
 		switch {
-		case age >= settleWithin: // it lives, or ended of something else
-		case b.target.IsGone(now):
-			d.endedUnder(now, b)
+		case age >= crashWindow: // alive, or crashed for another reason
+		case send.target.IsGone(now):
+			d.recordCrash(now, send)
 		default:
-			open = append(open, b)
-			if b.direct && age >= probeAfter && b.target.Ask(now, askPause) {
-				ask = append(ask, b.target)
+			pending = append(pending, send)
+			if send.direct && age >= probeDelay && send.target.Ask(now, livenessInterval) {
+				probes = append(probes, send.target)
 			}
 		}
 	}
 	q.mu.Lock()
-	q.broken = append(open, q.broken...)
+	q.interrupted = append(pending, q.interrupted...)
 	q.mu.Unlock()
-	return ask
+	return probes
 }
 
-// probe connects to a target; one whose address refuses that has no process, and one that takes
-// the connection has not ended under the requests that broke off there. Engines are watched by
-// some entries, but nothing else watches plain services.
+// probe connects to a target. A refused connection means that the process is gone; an accepted one
+// clears the sends interrupted there before. Entries watch engines but not plain services, which
+// only this probe covers.
 func (d *Daemon) probe(ctx context.Context, t *pkreplica.Target) {
-	asked := time.Now()
+	start := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	err := d.Engines.Hold(ctx, t.Addr)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		d.suspect(t, time.Now().Add(suspectPause), err)
+		d.suspect(t, time.Now().Add(suspectTTL), err)
 	case err == nil:
-		d.quarantine.acquit(t, asked)
+		d.quarantine.clearInterrupted(t, start)
 	}
 }
 
-// acquit drops the sends that broke off at a target before a time at which it was there.
-func (q *quarantine) acquit(t *pkreplica.Target, at time.Time) {
+// clearInterrupted drops the sends interrupted at a target up to a time when it was alive.
+func (q *quarantine) clearInterrupted(t *pkreplica.Target, at time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.broken = slices.DeleteFunc(q.broken, func(b brokenSend) bool { return b.target == t && !b.at.After(at) })
+	q.interrupted = slices.DeleteFunc(q.interrupted, func(b interruptedSend) bool { return b.target == t && !b.endedAt.After(at) })
 }
 
-// endedUnder takes a target that ended under a request.
-func (d *Daemon) endedUnder(now time.Time, b brokenSend) {
+// recordCrash records the crash of a target by a request.
+func (d *Daemon) recordCrash(now time.Time, send interruptedSend) {
 	q := &d.quarantine
-	found := q.table.Crashed(now, b.digest, pkquarantine.StartOf(b.target.ID, b.target.Born))
-	if !found.News {
+	finding := q.table.Crashed(now, send.digest, pkquarantine.StartOf(send.target.ID, send.target.Born))
+	if !finding.News {
 		return
 	}
-	d.log.Info("a target ended under a request", "request_id", b.request, "digest", b.digest.String(), "target", b.target.ID,
-		"born", b.target.Born, "crashes", found.Crashes)
-	if found.Held {
-		d.logHeld(now, b.digest, "own")
+	d.log.Info("target crashed while running a request", "request_id", send.request, "digest", send.digest.String(), "target", send.target.ID,
+		"born", send.target.Born, "crashes", finding.Crashes)
+	if finding.Held {
+		d.logQuarantined(now, send.digest, "own")
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.unsaved == nil {
 		q.unsaved = map[pkquarantine.Digest]bool{}
 	}
-	q.unsaved[b.digest] = true
+	q.unsaved[send.digest] = true
 }
 
-// learnCases takes what another entry, or the store, knows of requests that replicas ended under.
-func (d *Daemon) learnCases(now time.Time, cases []pkquarantine.Case, source string) {
+// mergeCases merges crash reports of another entry or of the store.
+func (d *Daemon) mergeCases(now time.Time, cases []pkquarantine.Case, source string) {
 	for _, digest := range d.quarantine.table.Learn(now, cases) {
-		d.logHeld(now, digest, source)
+		d.logQuarantined(now, digest, source)
 	}
 }
 
-func (d *Daemon) logHeld(now time.Time, digest pkquarantine.Digest, source string) {
+func (d *Daemon) logQuarantined(now time.Time, digest pkquarantine.Digest, source string) {
 	d.log.Warn("a request is quarantined", "digest", digest.String(), "source", source,
 		"for_ms", d.quarantine.table.Left(now, digest).Milliseconds())
 }
 
-// savedCase is a held request as the store keeps it.
+// savedCase is the stored form of a quarantined request.
 type savedCase struct {
 	Case pkquarantine.Case `json:"case"`
-	// SavedUnixMS is when it was written; spans in it count from there.
+	// SavedUnixMS is the time of the write; ages in the case are relative to it.
 	SavedUnixMS int64 `json:"saved_unix_ms"`
 }
 
-// saveHeld writes held requests to the store, which alone remembers them once all entries have
-// ended at the same moment. Only entries that saw a crash write, and only where none has; an
-// entry that starts reads them with the members, in a call that it makes anyway.
-func (d *Daemon) saveHeld(ctx context.Context) {
+// saveQuarantined writes quarantined requests to the store, so that they survive a restart of all
+// entries. Only entries that saw a crash write, and only requests that the store lacks. Entries
+// read them at start together with the members.
+func (d *Daemon) saveQuarantined(ctx context.Context) {
 	var next time.Time
-	pktimer.Every(ctx, saveEvery, func(ctx context.Context) {
+	pktimer.Every(ctx, saveInterval, func(ctx context.Context) {
 		now := time.Now()
 		if now.Before(next) {
 			return
 		}
-		for _, one := range d.toSave(now) {
+		for _, one := range d.unsavedCases(now) {
 			if err := d.save(ctx, one); err != nil {
 				d.log.Warn("a quarantined request was not saved", "digest", one.Digest.String(), "error", err)
-				next = time.Now().Add(saveAgain)
+				next = time.Now().Add(saveRetryDelay)
 				return
 			}
-			d.saved(one.Digest)
+			d.markSaved(one.Digest)
 		}
 	})
 }
 
-// toSave returns the held requests that this entry has to write at now.
-func (d *Daemon) toSave(now time.Time) []pkquarantine.Case {
+// unsavedCases returns the quarantined requests that this entry must write at now.
+func (d *Daemon) unsavedCases(now time.Time) []pkquarantine.Case {
 	q := &d.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -263,14 +262,14 @@
 	return slices.DeleteFunc(q.table.Held(now), func(c pkquarantine.Case) bool { return !q.unsaved[c.Digest] })
 }
 
-func (d *Daemon) saved(digest pkquarantine.Digest) {
+func (d *Daemon) markSaved(digest pkquarantine.Digest) {
 	q := &d.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	delete(q.unsaved, digest)
 }
 
-// save writes a held request under a lease that ends by itself when the request is free.
+// save writes a quarantined request under a lease that expires with the quarantine.
 func (d *Daemon) save(ctx context.Context, one pkquarantine.Case) error {
 	now := time.Now()
 	value, err := json.Marshal(savedCase{Case: one, SavedUnixMS: now.UnixMilli()})
@@ -282,17 +281,17 @@
 	if err != nil {
 		return err
 	}
-	// Another entry may have written the same; either stands for both.
-	_, err = d.write(ctx, askerQuarantine, pkstore.Swap{Key: d.OwnPrefix + heldKey + one.Digest.String(), Value: value, Lease: lease})
+	// Another entry may have written the same request; either copy will do.
+	_, err = d.write(ctx, askerQuarantine, pkstore.Swap{Key: d.OwnPrefix + quarantineKeyPrefix + one.Digest.String(), Value: value, Lease: lease})
 	return err
 }
 
-// takeSaved takes those of the daemons' own keys that are held requests. One that cannot be
-// read, of another build, holds nothing here.
-func (d *Daemon) takeSaved(now time.Time, items []pkstore.Item) {
+// loadSaved loads the quarantined requests among the daemons' own keys. Values that cannot be read,
+// such as those of another build, are skipped.
+func (d *Daemon) loadSaved(now time.Time, items []pkstore.Item) {
 	var cases []pkquarantine.Case
 	for _, one := range items {
-		if !strings.HasPrefix(one.Key, d.OwnPrefix+heldKey) {
+		if !strings.HasPrefix(one.Key, d.OwnPrefix+quarantineKeyPrefix) {
 			continue
 		}
 		var saved savedCase
@@ -300,8 +299,8 @@
 			d.log.Warn("a quarantined request of the store was not read", "key", one.Key, "error", err)
 			continue
 		}
-		d.saved(saved.Case.Digest)
+		d.markSaved(saved.Case.Digest)
 		cases = append(cases, saved.Case.Older(now.Sub(time.UnixMilli(saved.SavedUnixMS))))
 	}
-	d.learnCases(now, cases, "store")
+	d.mergeCases(now, cases, "store")
 }
--- a/pkedge/quarantine_fleet_test.go
+++ b/pkedge/quarantine_fleet_test.go
@@ -14,30 +14,30 @@
 	"peridotknot.example/pkshare"
 )
 
-// fleetModel is the entries of a fleet, which tell one another by their roles without a network.
-type fleetModel struct {
+// simFleet simulates the gossip among the entries of a fleet without a network.
+type simFleet struct {
 	now     time.Time
 	entries []*Daemon
 	byAddr  map[string]*Daemon
-	// peers are the members as all entries read them.
+	// peers are the members as all entries read them from the store.
 	peers map[pkid.EntryID]pkshare.Member
-	// roles are whom each entry tells, played how many rounds there were.
-	roles  map[*Daemon]map[string]pkshare.Role
-	played int
-	// earlier entries are of a build that knows of no quarantine, away ones reach nobody.
-	earlier map[*Daemon]bool
-	away    map[*Daemon]bool
-	// lose is the share of messages that are lost.
-	lose float64
-	rand *rand.Rand
-	// most is the most bytes that an entry sent in a round beyond those without the quarantine,
-	// sent how many each has sent.
-	most int
-	sent map[*Daemon]int
+	// roles are the peers that each entry sends to, roundsPlayed counts the rounds.
+	roles        map[*Daemon]map[string]pkshare.Role
+	roundsPlayed int
+	// olderBuild entries do not support the quarantine, partitioned ones neither send nor receive.
+	olderBuild  map[*Daemon]bool
+	partitioned map[*Daemon]bool
+	// lossRate is the share of messages that are lost.
+	lossRate float64
+	rand     *rand.Rand
+	// maxRoundBytes is the most bytes about quarantined requests that an entry sent in a round,
+	// sentBytes the sum per entry.
+	maxRoundBytes int
+	sentBytes     map[*Daemon]int
 }
 
-func newFleetModel(dataCenters, each int) *fleetModel {
-	f := &fleetModel{now: time.Now(), byAddr: map[string]*Daemon{}, peers: map[pkid.EntryID]pkshare.Member{}, roles: map[*Daemon]map[string]pkshare.Role{}, earlier: map[*Daemon]bool{}, away: map[*Daemon]bool{}, sent: map[*Daemon]int{}, rand: rand.New(rand.NewPCG(1, 2))}
+func newSimFleet(dataCenters, each int) *simFleet {
+	f := &simFleet{now: time.Now(), byAddr: map[string]*Daemon{}, peers: map[pkid.EntryID]pkshare.Member{}, roles: map[*Daemon]map[string]pkshare.Role{}, olderBuild: map[*Daemon]bool{}, partitioned: map[*Daemon]bool{}, sentBytes: map[*Daemon]int{}, rand: rand.New(rand.NewPCG(1, 2))}
 	for dc := range dataCenters {
 		for i := range each {
 			f.add(pkid.DataCenter('a'+rune(dc)), i, 0.2+0.6*float64(i/(each-2)))
@@ -46,7 +46,7 @@
 	return f
 }
 
-func (f *fleetModel) add(dc pkid.DataCenter, i int, share float64) *Daemon {
+func (f *simFleet) add(dc pkid.DataCenter, i int, share float64) *Daemon {
 	d, _ := poolDaemon()
 	d.settings.Entry = pkid.EntryID(fmt.Sprintf("%s-%03d", dc, i))
 	d.settings.DataCenter, d.settings.ProcessorShare = dc, share
@@ -59,21 +59,21 @@
 	return d
 }
 
-// rolesOf returns whom an entry tells, as it brings that up to date each few messages.
-func (f *fleetModel) rolesOf(d *Daemon) map[string]pkshare.Role {
-	if f.roles[d] == nil || f.played%6 == 0 {
+// rolesOf returns the peers that an entry sends to, which it updates every few messages.
+func (f *simFleet) rolesOf(d *Daemon) map[string]pkshare.Role {
+	if f.roles[d] == nil || f.roundsPlayed%6 == 0 {
 		f.roles[d] = d.roles(f.now)
 	}
 	return f.roles[d]
 }
 
-// round has each entry tell those that it tells, as often as hubs do.
-func (f *fleetModel) round(t *testing.T) {
+// round lets each entry send its messages once, at the interval of hubs.
+func (f *simFleet) round(t *testing.T) {
 	t.Helper()
 	f.now = f.now.Add(pkshare.EveryWithHubs)
-	f.played++
+	f.roundsPlayed++
 	for _, from := range f.entries {
-		if f.away[from] {
+		if f.partitioned[from] {
 			continue
 		}
 		sent := 0
@@ -85,25 +85,25 @@
 				m.Sum = &pkshare.Sum{All: role == pkshare.OfHub}
 			}
 			from.help(f.now, &m, to.settings.Entry, role)
-			if f.earlier[from] {
+			if f.olderBuild[from] {
 				m.Cases, m.Held = nil, 0
 			}
-			sent += size(t, caseWord(m))
-			if !f.away[to] && !f.earlier[to] && f.rand.Float64() >= f.lose {
+			sent += size(t, quarantinePart(m))
+			if !f.partitioned[to] && !f.olderBuild[to] && f.rand.Float64() >= f.lossRate {
 				to.hear(f.now, m)
 			}
 		}
-		f.most = max(f.most, sent)
-		f.sent[from] += sent
+		f.maxRoundBytes = max(f.maxRoundBytes, sent)
+		f.sentBytes[from] += sent
 	}
 }
 
-// caseWord returns what a message tells of quarantined requests.
-func caseWord(m pkshare.Message) pkshare.Message {
+// quarantinePart returns the part of a message about quarantined requests.
+func quarantinePart(m pkshare.Message) pkshare.Message {
 	return pkshare.Message{Cases: m.Cases, Held: m.Held}
 }
 
-// size returns by how many bytes a message is larger than an empty one.
+// size returns the bytes of a message beyond those of an empty one.
 func size(t *testing.T, m pkshare.Message) int {
 	t.Helper()
 	raw, err := pkpeer.Encode(m)
@@ -113,8 +113,9 @@
 	return len(raw) - len(empty)
 }
 
-// rounds plays rounds until entries hold the poison request, and returns for how long.
-func (f *fleetModel) rounds(t *testing.T, entries ...*Daemon) time.Duration {
+// roundsUntilQuarantined plays rounds until the entries have quarantined the poison request, and
+// returns the simulated time.
+func (f *simFleet) roundsUntilQuarantined(t *testing.T, entries ...*Daemon) time.Duration {
 	t.Helper()
 	began := f.now
 	for {
@@ -125,94 +126,91 @@
 		if all {
 			return f.now.Sub(began)
 		}
-		assert.Assert(t, f.now.Sub(began) < time.Minute, "it never comes")
+		assert.Assert(t, f.now.Sub(began) < time.Minute, "not quarantined within a minute")
 		f.round(t)
 	}
 }
 
-// others returns the entries that are of this build and reached.
-func (f *fleetModel) others() []*Daemon {
+// reachable returns the entries of this build that are not partitioned.
+func (f *simFleet) reachable() []*Daemon {
 	var out []*Daemon
 	for _, d := range f.entries {
-		if !f.away[d] && !f.earlier[d] {
+		if !f.partitioned[d] && !f.olderBuild[d] {
 			out = append(out, d)
 		}
 	}
 	return out
 }
 
-// Three entries in three places each see one replica end under a request. All must know within
-// three seconds, the shortest time in which an entry counts as reached by the others: in fleets
-// of any size, while a fifth of the messages is lost, with the first hub of each data centre
-// dead, and an entry that was cut off or starts must know as soon after it is back.
-func TestWordOfAPoisonRequestReachesAllEntries(t *testing.T) {
+// Guards against slow propagation: after three entries in different data centres have seen one
+// crash each, all entries must quarantine the request within three seconds, in fleets of any size
+// and with lost messages. The same holds for an entry that was partitioned or has just started.
+func TestQuarantineReachesAllEntries(t *testing.T) {
 	const within = 3 * time.Second
 	for _, size := range []struct{ dataCenters, each int }{{3, 3}, {3, 26}, {17, 23}} {
 		for _, lose := range []float64{0, 0.2} {
 			t.Run(fmt.Sprintf("%d entries, %v lost", size.dataCenters*size.each, lose), func(t *testing.T) {
-				f := newFleetModel(size.dataCenters, size.each)
-				f.lose = lose
+				f := newSimFleet(size.dataCenters, size.each)
+				f.lossRate = lose
 				for range 4 {
 					f.round(t)
 				}
 				cut := f.entries[1]
-				f.away[cut] = true
+				f.partitioned[cut] = true
 				for i, at := range []int{0, size.each, 2*size.each + 1} {
 					f.entries[at].quarantine.table.Crashed(f.now, poison, pkquarantine.Start(1+i))
 				}
-				took := f.rounds(t, f.others()...)
-				t.Logf("known to all after %v", took)
+				took := f.roundsUntilQuarantined(t, f.reachable()...)
+				t.Logf("quarantined everywhere after %v", took)
 				assert.Assert(t, took <= within, "%v", took)
 
 				for range 20 {
-					f.round(t) // what was news is none any more
+					f.round(t) // recent crashes are no longer announced
 				}
-				f.away[cut] = false
+				f.partitioned[cut] = false
 				fresh := f.add("b", 99, 0.2)
-				took = f.rounds(t, f.entries...)
-				t.Logf("known to one that was cut off, and to a fresh one, after %v", took)
+				took = f.roundsUntilQuarantined(t, f.entries...)
+				t.Logf("quarantined at a partitioned and a new entry after %v", took)
 				assert.Assert(t, took <= within && fresh.quarantine.table.Left(f.now, poison) > 0, "%v", took)
-				t.Logf("at most %d bytes in %v more than without", f.most, pkshare.EveryWithHubs)
+				t.Logf("at most %d bytes about quarantined requests in %v", f.maxRoundBytes, pkshare.EveryWithHubs)
 			})
 		}
 	}
 }
 
-// Half of the entries run an earlier build, in the middle of a roll-out. They say nothing of such
-// requests and understand nothing; the others must learn from one another, and must not tell the
-// earlier ones again and again what those never take.
-func TestEntriesOfAnEarlierBuildAreNotToldForEver(t *testing.T) {
-	f := newFleetModel(2, 4)
+// Guards against repeating messages without end to entries of an older build, which never
+// acknowledge quarantined requests. The others must still learn from one another.
+func TestOlderBuildsAreNotSentQuarantineForever(t *testing.T) {
+	f := newSimFleet(2, 4)
 	for i, d := range f.entries {
-		f.earlier[d] = i%2 == 0
+		f.olderBuild[d] = i%2 == 0
 	}
 	for range 4 {
 		f.round(t)
 	}
-	for i, d := range f.others()[:pkquarantine.Limit] {
+	for i, d := range f.reachable()[:pkquarantine.Limit] {
 		d.quarantine.table.Crashed(f.now, poison, pkquarantine.Start(1+i))
 	}
-	assert.Assert(t, f.rounds(t, f.others()...) <= 3*time.Second)
+	assert.Assert(t, f.roundsUntilQuarantined(t, f.reachable()...) <= 3*time.Second)
 	for range 20 {
 		f.round(t)
 	}
-	f.most = 0
+	f.maxRoundBytes = 0
 	f.round(t)
-	// The sum of what is held goes out with each message to seven others.
-	assert.Assert(t, f.most <= 7*16, "%d bytes", f.most)
+	// The checksum of the quarantined requests goes out with each message to seven peers.
+	assert.Assert(t, f.maxRoundBytes <= 7*16, "%d bytes", f.maxRoundBytes)
 }
 
-// A data centre is lost at the size to design for, and at each entry ten requests end with
-// replicas there, while a poison request ends one replica at each of three entries and does so
-// again two seconds later, as it comes again. What each entry tells must stay within what control
-// may take, and the poison request must become known.
-func TestWordOfManySuspectsIsBounded(t *testing.T) {
+// Guards against too much traffic when a data centre is lost and each entry suspects ten requests,
+// while a poison request repeatedly crashes one replica at each of three entries. The traffic must
+// stay within the limit of the control plane, and all entries must quarantine the poison request.
+func TestQuarantineTrafficIsBounded(t *testing.T) {
 	const (
 		perEntry  = 10
-		bytesMost = 20_000 // a second, for all control of an entry
+		bytesMost = 20_000 // per second, for all control traffic of an entry
 		span      = 10 * time.Second
 	)
-	f := newFleetModel(17, 22)
+	f := newSimFleet(17, 22)
 	for range 4 {
 		f.round(t)
 	}
@@ -221,7 +219,7 @@
 			d.quarantine.table.Crashed(f.now, pkquarantine.Digest(f.rand.Uint64()), pkquarantine.Start(f.rand.Uint64()))
 		}
 	}
-	began, known := f.now, time.Duration(0)
+	began, took := f.now, time.Duration(0)
 	for f.now.Sub(began) < span {
 		if at := f.now.Sub(began); at%(2100*time.Millisecond) == 0 && at <= 4200*time.Millisecond {
 			for _, i := range []int{0, 100, 300} {
@@ -229,21 +227,21 @@
 			}
 		}
 		f.round(t)
-		if known == 0 && f.knowing() == len(f.entries) {
-			known = f.now.Sub(began)
+		if took == 0 && f.quarantinedCount() == len(f.entries) {
+			took = f.now.Sub(began)
 		}
 	}
 	most := 0
-	for _, sent := range f.sent {
+	for _, sent := range f.sentBytes {
 		most = max(most, sent)
 	}
-	t.Logf("known to all after %v; an entry told at most %d bytes in one round and %d a second", known, f.most, most/int(span/time.Second))
-	assert.Equal(t, f.knowing(), len(f.entries))
+	t.Logf("quarantined everywhere after %v; an entry sent at most %d bytes in one round and %d per second", took, f.maxRoundBytes, most/int(span/time.Second))
+	assert.Equal(t, f.quarantinedCount(), len(f.entries))
 	assert.Assert(t, most <= bytesMost*int(span/time.Second), "%d bytes", most)
 }
 
-// knowing returns how many entries hold the poison request.
-func (f *fleetModel) knowing() int {
+// quarantinedCount returns how many entries have quarantined the poison request.
+func (f *simFleet) quarantinedCount() int {
 	n := 0
 	for _, d := range f.entries {
 		if d.quarantine.table.Left(f.now, poison) > 0 {
--- a/pkedge/mend_test.go
+++ b/pkedge/reroute_test.go
@@ -22,15 +22,15 @@
 	"peridotknot.example/pkverdict"
 )
 
-// deafEngines answer no question before it is given up.
-type deafEngines struct{ pkowner.Engines }
+// unresponsiveEngines answer no report before its context ends.
+type unresponsiveEngines struct{ pkowner.Engines }
 
-func (deafEngines) Report(ctx context.Context, _ string) (pkowner.Report, error) {
+func (unresponsiveEngines) Report(ctx context.Context, _ string) (pkowner.Report, error) {
 	<-ctx.Done()
 	return pkowner.Report{}, context.Cause(ctx)
 }
 
-// poolDaemon is a daemon that knows engines of a model and runs nothing.
+// poolDaemon returns a daemon that knows the engines of one model and runs no loops.
 func poolDaemon(infos ...pkreplica.Info) (*Daemon, *pkconfig.Service) {
 	d := &Daemon{log: hclog.NewNullLogger(), crowding: pklayers.FreeCrowding}
 	d.sharing.suspects = map[pkid.TargetID]suspicion{}
@@ -52,12 +52,12 @@
 	return pkreplica.Info{ID: id, DataCenter: dc, Kind: "l4", Held: pkid.Range{First: first, End: end}}
 }
 
-// attemptOver returns an attempt of a stream over targets, each with what it holds.
+// attemptOver returns an attempt of a stream over targets, each with the layers that it holds.
 func attemptOver(t *testing.T, d *Daemon, s *pkconfig.Service, ids ...pkid.TargetID) *attempt {
 	t.Helper()
 	c := &call{Daemon: d, r: httptest.NewRequest(http.MethodPost, "/", nil), route: &pkconfig.Route{Name: "talk", Kind: pkconfig.Stream, Resumable: true, MaxAttempts: 2}}
 	c.req = pkforward.Request{Ask: pkforward.Ask{ID: "r-1", PromptTokens: 772}}
-	var p route
+	var p targetPath
 	for _, id := range ids {
 		one, found := d.roster.Target(id)
 		assert.Assert(t, found)
@@ -66,119 +66,113 @@
 	return &attempt{call: c, service: s, tokens: 900, path: p}
 }
 
-// A stream is taken off a dead engine while its first engine is being asked what it waits
-// for. The question is given up with the attempt. Taken for a failure of the first engine,
-// it makes all entries pass over a live engine, and the streams that begin there find
-// no path for four seconds.
-func TestAQuestionThatIsGivenUpSaysNothing(t *testing.T) {
+// Guards against suspecting a live first engine when a stall check is canceled together with its
+// attempt.
+func TestCanceledStallCheckSuspectsNobody(t *testing.T) {
 	d, s := poolDaemon(engine("first", "a", 0, 40), engine("second", "a", 40, 80))
-	d.Engines = deafEngines{}
+	d.Engines = unresponsiveEngines{}
 	a := attemptOver(t, d, s, "first", "second")
 	ctx, cancel := context.WithCancelCause(t.Context())
 	cancel(errMoved)
-	assert.Assert(t, !a.call.stalled(ctx, a))
+	assert.Assert(t, !a.call.checkStalled(ctx, a))
 	first, _ := d.roster.Target("first")
 	assert.Assert(t, !first.Avoided(time.Now()))
 	assert.Equal(t, len(d.sharing.suspects), 0)
 }
 
-// Forty streams of a dead engine look for another path at one moment, and each prompt takes
-// 16 ms of a pipe. A caller who waits for the next event must get a path without a crossing,
-// also where engines beyond the pipe are less busy.
-func TestACallerInTheMiddleOfAnAnswerCrossesNoBusyPipe(t *testing.T) {
+// Guards against detours through a congested pipe for an answer in progress, even if the engines
+// beyond it are less busy.
+func TestUrgentRequestAvoidsCongestedPipe(t *testing.T) {
 	d, s := poolDaemon(engine("front", "a", 0, 40), engine("near", "a", 40, 80), engine("far", "b", 40, 80))
 	d.settings.DataCenter = "a"
 	now := time.Now()
 	near, _ := d.roster.Target("near")
 	near.Begin(now, 0.2*s.Engine.Room("l4", 40)*40, 0, 0)
-	wanted := wish{span: s.Engine.All(), tokens: 900, from: "a", share: 1}
-	p, found := d.find(now, s, wanted)
+	query := pathQuery{layers: s.Engine.All(), tokens: 900, from: "a", memoryShare: 1}
+	p, found := d.findPath(now, s, query)
 	assert.Assert(t, found)
-	assert.Equal(t, p.targets[1].ID, pkid.TargetID("far"), "a new request takes the engine that has more room")
+	assert.Equal(t, p.targets[1].ID, pkid.TargetID("far"), "a new request takes the engine with more room")
 	for range 10 {
 		d.pipes.Add(now, "a", "b", 0, s.Engine.TransferTime(900))
 	}
-	wanted.hurry = true
-	p, found = d.find(now, s, wanted)
+	query.urgent = true
+	p, found = d.findPath(now, s, query)
 	assert.Assert(t, found)
 	assert.Equal(t, p.targets[1].ID, pkid.TargetID("near"))
 }
 
-// eventfulEngines take each new path while an event of the stream comes.
-type eventfulEngines struct {
+// eventEngines accept each new path while an event of the stream arrives.
+type eventEngines struct {
 	pkowner.Engines
 	event func()
 }
 
-func (e eventfulEngines) Repath(context.Context, string, pkid.RequestID, []pkforward.Hop) (pkowner.Outcome, error) {
+func (e eventEngines) Repath(context.Context, string, pkid.RequestID, []pkforward.Hop) (pkowner.Outcome, error) {
 	go e.event()
 	return pkowner.Done, nil
 }
 
-// A stream changes its path while its events come. The line that tells of it says how many
-// there were; read beside the event that counts itself, the count may be any.
-func TestEventsComeWhileAPathIsChanged(t *testing.T) {
+// Guards against a data race between a path change, which logs the number of events, and an event.
+func TestEventDuringRepath(t *testing.T) {
 	d, s := poolDaemon(engine("first", "a", 0, 40), engine("second", "a", 40, 80), engine("other", "a", 40, 80))
 	a := attemptOver(t, d, s, "first", "second")
-	came := make(chan struct{})
-	d.Engines = eventfulEngines{event: func() {
-		a.event(time.Now())
-		close(came)
+	arrived := make(chan struct{})
+	d.Engines = eventEngines{event: func() {
+		a.recordEvent(time.Now())
+		close(arrived)
 	}}
 	second, _ := d.roster.Target("second")
-	by, found := d.detour(time.Now(), a, second)
+	by, found := d.findDetour(time.Now(), a, second)
 	assert.Assert(t, found)
-	assert.Assert(t, d.repath(t.Context(), a, second, whyDead, by))
-	<-came
-	assert.Equal(t, a.mended, 1)
+	assert.Assert(t, d.repath(t.Context(), a, second, reasonDead, by))
+	<-arrived
+	assert.Equal(t, a.reroutes, 1)
 }
 
-// obedientEngines take each new path and keep it.
-type obedientEngines struct {
+// repathEngines accept each new path and record it.
+type repathEngines struct {
 	pkowner.Engines
 	path []pkforward.Hop
 }
 
-func (e *obedientEngines) Repath(_ context.Context, _ string, _ pkid.RequestID, path []pkforward.Hop) (pkowner.Outcome, error) {
+func (e *repathEngines) Repath(_ context.Context, _ string, _ pkid.RequestID, path []pkforward.Hop) (pkowner.Outcome, error) {
 	e.path = path
 	return pkowner.Done, nil
 }
 
-// Four engines of a large pool die at one moment. Their 140 streams all read all of their
-// tokens again, each waits for the others, and what could have gone on within 150 ms goes on
-// after 250. A stream whose dead engine has another beside it must have that one read alone;
-// one that would go through a pipe for it, or that waits for two dead engines, is better off
-// with another attempt.
-func TestAStreamTakesTheEngineBesideADeadOne(t *testing.T) {
+// Guards against all engines reading all tokens again when a dead engine has a replacement in its
+// data centre: the replacement alone must read them. With a remote replacement or a second dead
+// engine the request must be sent again instead.
+func TestStreamTakesLocalReplacementOfDeadEngine(t *testing.T) {
 	cases := []struct {
-		name    string
-		beside  pkid.DataCenter
-		dead    []pkid.TargetID
-		inPlace bool
+		name        string
+		replacement pkid.DataCenter
+		dead        []pkid.TargetID
+		inPlace     bool
 	}{
-		{"beside it", "a", []pkid.TargetID{"second"}, true},
-		{"in another data centre", "b", []pkid.TargetID{"second"}, false},
+		{"same data centre", "a", []pkid.TargetID{"second"}, true},
+		{"another data centre", "b", []pkid.TargetID{"second"}, false},
 		{"two dead engines", "a", []pkid.TargetID{"second", "third"}, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			d, s := poolDaemon(
 				engine("first", "a", 0, 30), engine("second", "a", 30, 60), engine("third", "a", 60, 80),
-				engine("beside", c.beside, 30, 60), engine("other", "a", 60, 80),
+				engine("beside", c.replacement, 30, 60), engine("other", "a", 60, 80),
 			)
-			spendable(d, 9)
-			engines := &obedientEngines{}
+			setRetryBudget(d, 9)
+			engines := &repathEngines{}
 			d.Engines = engines
 			a := attemptOver(t, d, s, "first", "second", "third")
-			a.again = true
+			a.canRetry = true
 			var moved error
 			a.cancel = func(err error) { moved = err }
 			for _, id := range c.dead {
 				one, _ := d.roster.Target(id)
-				one.Dead(time.Now().Add(suspectPause))
+				one.Dead(time.Now().Add(suspectTTL))
 			}
 			second, _ := d.roster.Target("second")
-			d.mend(t.Context(), a, second, whyDead)
+			d.reroute(t.Context(), a, second, reasonDead)
 			if !c.inPlace {
 				assert.Equal(t, moved, errMoved)
 				assert.Equal(t, len(engines.path), 0)
@@ -191,89 +185,82 @@
 	}
 }
 
-// An engine dies. The entry that asks it is refused a connection and tells the others: nothing
-// that passed through it will go on. Their streams have been silent for 20 ms, a pause as any;
-// to wait until they are silent for long takes half of the pause that callers accept. Where
-// the engine merely gave no sign of life, a stream must be silent too.
-func TestStreamsLeaveAnEngineWhoseProcessIsGoneAtOnce(t *testing.T) {
+// Guards against streams that wait for their silence timeout although a refused connection shows
+// that the engine's process is gone. With an engine that merely did not answer, the stream must be
+// silent too.
+func TestStreamsLeaveCrashedEngineAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		err  error
 		want string
 	}{
-		{fmt.Errorf("report: %w", syscall.ECONNREFUSED), whyDead},
+		{fmt.Errorf("report: %w", syscall.ECONNREFUSED), reasonDead},
 		{context.DeadlineExceeded, ""},
 	} {
 		d, s := poolDaemon(engine("first", "a", 0, 40), engine("second", "a", 40, 80))
 		a := attemptOver(t, d, s, "first", "second")
 		now := time.Now()
-		a.last = now.Add(-20 * time.Millisecond)
+		a.lastEventAt = now.Add(-20 * time.Millisecond)
 		second, _ := d.roster.Target("second")
-		d.suspect(second, now.Add(suspectPause), c.err)
-		_, why := a.wants(now)
-		assert.Equal(t, why, c.want)
+		d.suspect(second, now.Add(suspectTTL), c.err)
+		_, reason := a.needsReroute(now)
+		assert.Equal(t, reason, c.want)
 	}
 }
 
-// A stream of a long answer has taken the engine beside a dead one as often as one attempt
-// may. Another of its engines dies; it has a send left, and must go on by that. Left with its
-// path for having changed it so often, it stands still until the engines cut it seconds later.
-func TestAStreamThatChangedItsPathOftenIsSentAgain(t *testing.T) {
+// Guards against a stalled stream whose attempt has used up its path changes: it must be sent again
+// while it has a retry left, and keep its path otherwise.
+func TestStreamIsSentAgainAfterMaxReroutes(t *testing.T) {
 	d, s := poolDaemon(engine("first", "a", 0, 40), engine("second", "a", 40, 80), engine("beside", "a", 40, 80))
-	spendable(d, 9)
-	engines := &obedientEngines{}
+	setRetryBudget(d, 9)
+	engines := &repathEngines{}
 	d.Engines = engines
 	a := attemptOver(t, d, s, "first", "second")
-	a.mended = mendMost
+	a.reroutes = maxReroutes
 	second, _ := d.roster.Target("second")
 	now := time.Now()
-	second.Gone(now.Add(suspectPause))
-	_, why := a.wants(now)
-	assert.Equal(t, why, "", "without a send it keeps its path")
+	second.Gone(now.Add(suspectTTL))
+	_, reason := a.needsReroute(now)
+	assert.Equal(t, reason, "", "keeps its path without a retry")
 
-	a.again = true
+	a.canRetry = true
 	var moved error
 	a.cancel = func(err error) { moved = err }
-	one, why := a.wants(now)
-	assert.Equal(t, why, whyDead)
-	d.mend(t.Context(), a, one, why)
+	one, reason := a.needsReroute(now)
+	assert.Equal(t, reason, reasonDead)
+	d.reroute(t.Context(), a, one, reason)
 	assert.Equal(t, moved, errMoved)
 	assert.Equal(t, len(engines.path), 0)
 }
 
-// spendable gives a daemon a retry budget of so many sends in ten seconds.
-func spendable(d *Daemon, sends float64) {
-	d.retry.Store(&Retry{WindowS: 10, Slack: (sends + 0.5) / 0.85})
+// setRetryBudget gives a daemon a retry budget of the given number of retries in ten seconds.
+func setRetryBudget(d *Daemon, retries float64) {
+	d.retry.Store(&Retry{WindowS: 10, Slack: (retries + 0.5) / 0.85})
 }
 
-// An engine leaves and serves on for seconds. Its streams are taken off it, the engines that
-// they are sent to next are full and refuse, and the retry budget of a small VM is spent by
-// the first send: 21 answers broke off in the middle beside a release of 17 engines. A stream
-// must stay where it is served until the budget allows more than one try; one whose engine is
-// dead has nothing to stay with.
-func TestAStreamLeavesAnEngineThatServesOnlyWithSendsToSpare(t *testing.T) {
+// Guards against moving streams off a draining engine with the last retry: the next engine may
+// refuse, and the answer would break off. A stream with a dead engine needs a single retry.
+func TestStreamLeavesDrainingEngineOnlyWithRetryReserve(t *testing.T) {
 	for _, c := range []struct {
-		sends float64
-		why   string
-		want  bool
+		retries float64
+		reason  string
+		want    bool
 	}{
-		{leaveSpare, whyLeaving, true},
-		{leaveSpare - 1, whyLeaving, false},
-		{1, whyDead, true},
-		{0, whyDead, false},
+		{drainRetryReserve, reasonLeaving, true},
+		{drainRetryReserve - 1, reasonLeaving, false},
+		{1, reasonDead, true},
+		{0, reasonDead, false},
 	} {
 		d, s := poolDaemon(engine("first", "a", 0, 40), engine("second", "a", 40, 80), engine("other", "a", 40, 80))
-		spendable(d, c.sends)
+		setRetryBudget(d, c.retries)
 		a := attemptOver(t, d, s, "first", "second")
 		a.call.service = s.ID
-		assert.Equal(t, d.mayMove(a, c.why), c.want, "%+v", c)
+		assert.Equal(t, d.reserveRetry(a, c.reason), c.want, "%+v", c)
 	}
 }
 
-// A stream was refused by the engine that it was sent to next, and the retry budget is spent.
-// Its caller waits two seconds for the next event, and a part of the budget frees each
-// second. A stream whose answer has begun must wait for that; a request that no answer was
-// begun for gets its refusal at once.
-func TestAStreamThatHasBegunWaitsForTheRetryBudget(t *testing.T) {
+// Guards against breaking off a started stream while the retry budget is spent for a moment. A
+// request without an answer yet must be refused at once.
+func TestStartedStreamWaitsForRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, s := poolDaemon(engine("first", "a", 0, 80))
 		d.metrics = newMetrics(d)
--- a/pkedge/restart_test.go
+++ b/pkedge/restart_test.go
@@ -51,29 +51,29 @@
 		"list": func(d *Daemon) { d.lists(now, 2, born(pkreplica.Info{ID: "b", Kind: "l4"}, 200)) },
 		"report": func(d *Daemon) {
 			d.Engines = reportingEngines{report: pkowner.Report{Born: 200, Orders: 1}}
-			_, err := d.report(t.Context(), d.target(t, "b"))
+			_, err := d.readReport(t.Context(), d.target(t, "b"))
 			assert.NilError(t, err)
 		},
 		"an empty report": func(d *Daemon) {
 			d.Engines = reportingEngines{}
-			_, err := d.report(t.Context(), d.target(t, "b"))
+			_, err := d.readReport(t.Context(), d.target(t, "b"))
 			assert.NilError(t, err)
 		},
 		"a peer": func(d *Daemon) {
-			d.hearSuspect(now, "other", pkshare.Suspect{Target: "b", ForMS: 1000, Born: 200})
+			d.receiveSuspicion(now, "other", pkshare.Suspect{Target: "b", ForMS: 1000, Born: 200})
 		},
 	}
 	for name, told := range tell {
 		t.Run(name, func(t *testing.T) {
 			d, s := poolDaemon(born(engine("a", "x", 0, 40), 100), born(engine("b", "x", 40, 80), 100), born(engine("c", "x", 40, 80), 100))
 			a := attemptOver(t, d, s, "a", "b")
-			a.event(now)
-			gone, _ := a.wants(now)
+			a.recordEvent(now)
+			gone, _ := a.needsReroute(now)
 			assert.Assert(t, gone == nil)
 			told(d)
-			gone, why := a.wants(now)
+			gone, why := a.needsReroute(now)
 			assert.Assert(t, gone != nil && gone.ID == "b")
-			assert.Equal(t, why, whyDead)
+			assert.Equal(t, why, reasonDead)
 		})
 	}
 }
@@ -96,7 +96,7 @@
 	} {
 		d, _ := poolDaemon(born(engine("b", "x", row.listed.First, row.listed.End), 100))
 		d.Engines = reportingEngines{report: row.report}
-		_, err := d.report(t.Context(), d.target(t, "b"))
+		_, err := d.readReport(t.Context(), d.target(t, "b"))
 		assert.NilError(t, err)
 		assert.Assert(t, !d.target(t, "b").Avoided(time.Now()), "%+v", row)
 	}
@@ -108,10 +108,10 @@
 	now := time.Now()
 	d, _ := poolDaemon(born(engine("a", "x", 0, 80), 200))
 	told := pkshare.Suspect{Target: "a", ForMS: 4000, Gone: true, Born: 100}
-	d.hearSuspect(now, "other", told)
+	d.receiveSuspicion(now, "other", told)
 	assert.Assert(t, !d.target(t, "a").Avoided(now))
 	told.Born = 200
-	d.hearSuspect(now, "other", told)
+	d.receiveSuspicion(now, "other", told)
 	assert.Assert(t, d.target(t, "a").IsGone(now))
 	d.lists(now, 2, born(engine("a", "x", 0, 80), 300))
 	assert.Assert(t, !d.target(t, "a").Avoided(now))
@@ -124,20 +124,20 @@
 	now := time.Now()
 	one, _ := poolDaemon(engine("a", "x", 0, 80))
 	two, _ := poolDaemon(engine("a", "x", 0, 80))
-	one.misplaced(now, one.target(t, "a"))
+	one.suspectMisplaced(now, one.target(t, "a"))
 	told := one.message(now).Suspects
 	assert.Equal(t, len(told), 1)
-	two.hearSuspect(now, "one", told[0])
+	two.receiveSuspicion(now, "one", told[0])
 	assert.Assert(t, one.target(t, "a").Avoided(now) && two.target(t, "a").Avoided(now))
 	for _, d := range []*Daemon{one, two} {
 		d.lists(now, 2, engine("a", "x", 0, 40))
 		assert.Assert(t, !d.target(t, "a").Avoided(now))
 	}
-	two.hearSuspect(now, "one", told[0])
+	two.receiveSuspicion(now, "one", told[0])
 	assert.Assert(t, !two.target(t, "a").Avoided(now), "late word")
 	assert.Equal(t, len(one.message(now).Suspects), 0)
 	old := one.target(t, "a")
 	one.lists(now, 3, engine("a", "x", 0, 20))
-	one.misplaced(now, old)
+	one.suspectMisplaced(now, old)
 	assert.Assert(t, !one.target(t, "a").Avoided(now), "it was chosen by an earlier entry")
 }
--- a/pkedge/scale_bench_test.go
+++ b/pkedge/scale_bench_test.go
@@ -15,7 +15,7 @@
 
 // scaleDaemon returns a daemon before so many engines, some of which it has requests at.
 func scaleDaemon(engines int) (*Daemon, *pkconfig.Service) {
-	m := shiftedPool()
+	m := mixedModel()
 	kinds := []pkid.Kind{"h100", "a100s", "a100s", "l4", "l4", "l4", "l4", "l4", "t4", "t4", "t4", "t4"}
 	var cards []pklayers.Card
 	for i := range engines {
--- a/pkedge/share.go
+++ b/pkedge/share.go
@@ -117,10 +117,10 @@
 		d.replicasChanged(d.roster.Learn(now, m.NewRecords, *m.RecordsAfter, m.List), m.List, "peer "+string(m.From))
 	}
 	for _, one := range m.Suspects {
-		d.hearSuspect(now, m.From, one)
+		d.receiveSuspicion(now, m.From, one)
 	}
-	d.hearPaces(now, m.Paces)
-	d.learnCases(now, m.Cases, "peer "+string(m.From))
+	d.mergePaces(now, m.Paces)
+	d.mergeCases(now, m.Cases, "peer "+string(m.From))
 }
 
 // takeLoads keeps with each target what the other entries hold of it.
--- a/pkedge/share_test.go
+++ b/pkedge/share_test.go
@@ -56,11 +56,11 @@
 	}{
 		{"by the one that found it", 2, func(d *Daemon, now time.Time) {
 			one, _ := d.roster.Target("dead")
-			d.suspect(one, now.Add(suspectPause), syscall.ECONNREFUSED)
+			d.suspect(one, now.Add(suspectTTL), syscall.ECONNREFUSED)
 		}},
 		{"by a hub that heard of it", 14, func(d *Daemon, now time.Time) {
 			d.hear(now, pkshare.Message{From: "m-09", Addr: "m-09", DataCenter: "a", Sequence: 2, Suspects: []pkshare.Suspect{
-				{Target: "dead", ForMS: suspectPause.Milliseconds(), Gone: true},
+				{Target: "dead", ForMS: suspectTTL.Milliseconds(), Gone: true},
 			}})
 		}},
 	}
@@ -78,7 +78,7 @@
 				time.Sleep(pkshare.Every / 3)
 				c.learn(d, time.Now())
 				time.Sleep(tellGather)
-				assert.DeepEqual(t, told(t, l), []pkshare.Suspect{{Target: "dead", ForMS: (suspectPause - tellGather).Milliseconds(), Gone: true}})
+				assert.DeepEqual(t, told(t, l), []pkshare.Suspect{{Target: "dead", ForMS: (suspectTTL - tellGather).Milliseconds(), Gone: true}})
 
 				// What is known is told with the rest.
 				c.learn(d, time.Now())
--- a/pkedge/stream.go
+++ b/pkedge/stream.go
@@ -61,7 +61,7 @@
 			cause = err
 			break
 		}
-		if cause = c.held(time.Now()); cause != nil {
+		if cause = c.checkQuarantine(time.Now()); cause != nil {
 			break
 		}
 		c.sends++
@@ -84,7 +84,7 @@
 	return c.ended(ctx, verdict, cause)
 }
 
-func (c *call) noteStream(p route, err error, f *flowing) pkverdict.Verdict {
+func (c *call) noteStream(p targetPath, err error, f *flowing) pkverdict.Verdict {
 	var failure *pkverdict.Error
 	if !errors.As(err, &failure) {
 		failure = &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: err}
@@ -123,7 +123,7 @@
 var errFull = errors.New("no path has room")
 
 // waitForPath chooses a path, and waits a little where none has room.
-func (c *call) waitForPath(ctx context.Context, s *pkconfig.Service) (route, error) {
+func (c *call) waitForPath(ctx context.Context, s *pkconfig.Service) (targetPath, error) {
 	tick := time.NewTicker(fullPoll)
 	defer tick.Stop()
 	until := time.Now().Add(fullWait)
@@ -141,7 +141,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return route{}, ctx.Err()
+			return targetPath{}, ctx.Err()
 		case <-tick.C:
 		}
 	}
@@ -149,38 +149,38 @@
 
 // lastRoute returns a path over engines that have failed lately, where no other has room:
 // some answer may still come, and without it there is none for certain.
-func (c *call) lastRoute(now time.Time, s *pkconfig.Service) (route, error) {
+func (c *call) lastRoute(now time.Time, s *pkconfig.Service) (targetPath, error) {
 	if s.Engine == nil {
-		return route{}, errFull
+		return targetPath{}, errFull
 	}
-	w := c.wish(s)
-	w.lastResort = true
-	if p, found := c.find(now, s, w); found {
+	q := c.pathQuery(s)
+	q.lastResort = true
+	if p, found := c.findPath(now, s, q); found {
 		return p, nil
 	}
-	c.logShortage(now, c.req.Ask.ID, s, w)
-	return route{}, errFull
+	c.logShortage(now, c.req.Ask.ID, s, q)
+	return targetPath{}, errFull
 }
 
 // chooseRoute returns a path over engines, or the one target of a plain service.
-func (c *call) chooseRoute(now time.Time, s *pkconfig.Service) (route, bool) {
+func (c *call) chooseRoute(now time.Time, s *pkconfig.Service) (targetPath, bool) {
 	if s.Engine != nil {
-		return c.find(now, s, c.wish(s))
+		return c.findPath(now, s, c.pathQuery(s))
 	}
 	t, found := c.roster.Choose(now, s.ID, c.tried)
 	if !found {
-		return route{}, false
+		return targetPath{}, false
 	}
-	return route{parts: []pklayers.Part{{ID: t.ID}}, targets: []*pkreplica.Target{t}}, true
+	return targetPath{parts: []pklayers.Part{{ID: t.ID}}, targets: []*pkreplica.Target{t}}, true
 }
 
-// wish returns what a path is wanted for.
-func (c *call) wish(s *pkconfig.Service) wish {
-	w := c.wishOf(s, c.size(s.Engine), c.sends)
-	if pause := c.route.PauseObjective; w.most > 0 && pause > 0 {
-		w.most = mostCost(pause, s.Engine)
+// pathQuery returns the query for a path of the request.
+func (c *call) pathQuery(s *pkconfig.Service) pathQuery {
+	q := c.newPathQuery(s, c.size(s.Engine), c.sends)
+	if pause := c.route.PauseObjective; q.maxCost > 0 && pause > 0 {
+		q.maxCost = maxTokenCost(pause, s.Engine)
 	}
-	return w
+	return q
 }
 
 // size returns how many tokens a request will probably hold.
@@ -199,17 +199,17 @@
 }
 
 // attempt sends the stream over one path and passes its events on.
-func (c *call) attempt(ctx context.Context, s *pkconfig.Service, p route, f *flowing) (err error) {
+func (c *call) attempt(ctx context.Context, s *pkconfig.Service, p targetPath, f *flowing) (err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	c.path = p.String()
 	a := c.newAttempt(time.Now(), s, p, cancel)
 	defer func() {
-		a.broke(time.Now(), err)
+		a.recordFailure(time.Now(), err)
 		c.mended += a.end()
-		c.paid = a.paid.Load()
+		c.paid = a.charged.Load()
 	}()
-	watch := c.watchOver(ctx, a)
+	watch := c.startWatchdog(ctx, a)
 	defer watch.stop()
 	send := pkforward.Send{Left: c.deadline.Sub(a.began), Target: p.first().ID, Account: c.account, Path: p.hops, LastEvent: f.last}
 	answer, err := c.Sender.Do(ctx, p.first().Addr, &c.req, send)
@@ -223,7 +223,7 @@
 		if err != nil {
 			return err
 		}
-		if c.begun || (answer.Status >= http.StatusInternalServerError && a.again) {
+		if c.begun || (answer.Status >= http.StatusInternalServerError && a.canRetry) {
 			return &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: errOwnFailure}
 		}
 		return c.pass(answer, body)
@@ -276,9 +276,9 @@
 			if err := control.Flush(); err != nil {
 				return errCallerLeft
 			}
-			watch.event()
-			if a.event(now) {
-				c.ranWell(now)
+			watch.reset()
+			if a.recordEvent(now) {
+				c.recordSuccess(now)
 			}
 		}
 	}
@@ -290,7 +290,7 @@
 	if f.events == 0 {
 		return &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: io.ErrUnexpectedEOF}
 	}
-	c.ranWell(time.Now())
+	c.recordSuccess(time.Now())
 	return nil
 }
 
@@ -300,9 +300,9 @@
 	if c.r.Context().Err() != nil || errors.Is(context.Cause(ctx), errSilent) || errors.Is(context.Cause(ctx), errMoved) {
 		return
 	}
-	fault := a.route().first()
+	fault := a.currentPath().first()
 	if answer != nil && answer.Fault != "" {
-		for _, t := range a.route().targets {
+		for _, t := range a.currentPath().targets {
 			if t.Addr == answer.Fault {
 				fault = t
 			}
@@ -310,11 +310,11 @@
 	}
 	var until time.Time
 	if answer != nil && answer.Status == http.StatusMisdirectedRequest {
-		until = c.misplaced(now, fault)
+		until = c.suspectMisplaced(now, fault)
 	} else {
 		until = c.failed(now, fault, err)
-		c.doubt(now, a, fault, answer)
+		c.queueRefusedEngine(now, a, fault, answer)
 	}
-	c.log.Info("a target is passed over", "target", fault.ID, "request_id", c.req.Ask.ID, "path", a.route().String(),
+	c.log.Info("a target is passed over", "target", fault.ID, "request_id", c.req.Ask.ID, "path", a.currentPath().String(),
 		"for_ms", until.Sub(now).Milliseconds(), "error", err)
 }
--- a/pkedge/suspect.go
+++ b/pkedge/suspect.go
@@ -16,43 +16,43 @@
 )
 
 const (
-	// suspectPause is how long an engine that others wait for is passed over. Its
-	// entry lapses, or it comes back empty, within that time.
-	suspectPause = 4 * time.Second
-	// askTimeout is how long an engine may take to give a sign of life; reports are
-	// answered in a few milliseconds whatever the load, and one that another engine gave
-	// meanwhile shows that this VM was not the slow one.
-	askTimeout = 40 * time.Millisecond
-	// askPause is how soon the same engine is asked again.
-	askPause = 200 * time.Millisecond
+	// suspectTTL is how long a dead engine is avoided. Its entry in the list expires or is replaced
+	// within that time.
+	suspectTTL = 4 * time.Second
+	// livenessTimeout bounds the report of an engine that is checked for liveness; live engines
+	// answer within a few milliseconds under any load.
+	livenessTimeout = 40 * time.Millisecond
+	// livenessInterval is the shortest time between liveness checks of one engine.
+	livenessInterval = 200 * time.Millisecond
 )
 
-// suspicion is what is told of a target that was found at fault.
+// suspicion is a fault found in a target, as it is reported to the other entries.
 type suspicion struct {
 	until time.Time
 	fault fault
-	// born is the start of the target, entry the revision of its entry, by which it was judged.
+	// born identifies the start of the target and entry the revision of its list entry that the
+	// suspicion is based on.
 	born  pkid.Birth
 	entry pkstore.Revision
 }
 
-// fault is how a target was found at fault; a greater one says more.
+// fault is the kind of fault of a target; a higher value is stronger evidence.
 type fault uint8
 
-// Faults.
+// Kinds of fault.
 const (
-	// faultSilent targets give no sign of life.
+	// faultSilent is the fault of a target that does not answer.
 	faultSilent fault = iota
-	// faultMisplaced targets do not hold the layers that their entry names.
+	// faultMisplaced is the fault of a target that does not hold the layers in its list entry.
 	faultMisplaced
-	// faultGone targets have no process.
+	// faultGone is the fault of a target whose process has ended.
 	faultGone
 )
 
-// findDead suspects the engines that silent streams have in common and that do not
-// answer. One that answers is slow, not dead: to pass it over would send all of its
-// streams to others at once, which then look dead in their turn.
-func (d *Daemon) findDead(ctx context.Context, now time.Time, all []*attempt) {
+// suspectStalledEngines checks the engines that silent streams have in common and suspects those
+// that do not answer. One that answers is merely slow: moving all of its streams at once would
+// overload other engines.
+func (d *Daemon) suspectStalledEngines(ctx context.Context, now time.Time, all []*attempt) {
 	flows := make([]pkstall.Flow, 0, len(all))
 	for _, a := range all {
 		if f, overEngines := a.flow(); overEngines {
@@ -67,136 +67,132 @@
 	}}
 	for _, id := range pkstall.Culprits(now, flows, evidence) {
 		t, found := d.roster.Target(id)
-		if !found || t.Avoided(now) || !t.Ask(now, askPause) {
+		if !found || t.Avoided(now) || !t.Ask(now, livenessInterval) {
 			continue
 		}
-		d.streams.wg.Go(func() { d.ask(ctx, t) })
+		d.streams.wg.Go(func() { d.checkLiveness(ctx, t) })
 	}
 }
 
-// ask asks an engine for a sign of life, and another one with it, and says whether it is dead.
-func (d *Daemon) ask(ctx context.Context, t *pkreplica.Target) bool {
-	call, cancel := context.WithTimeout(ctx, askTimeout)
+// checkLiveness asks an engine for a report, and another engine at the same time as a control, and
+// reports whether the first one is dead. The control tells a dead engine from a stall of this VM.
+func (d *Daemon) checkLiveness(ctx context.Context, t *pkreplica.Target) bool {
+	call, cancel := context.WithTimeout(ctx, livenessTimeout)
 	defer cancel()
 	control := make(chan error, 1)
-	go func() { control <- d.askOther(call, t) }()
-	_, err := d.report(call, t)
+	go func() { control <- d.checkControl(call, t) }()
+	_, err := d.readReport(call, t)
 	if ctx.Err() != nil {
 		return false
 	}
 	controlErr := <-control
 	dead := pkstall.Dead(err, controlErr)
 	if now := time.Now(); dead {
-		d.suspect(t, now.Add(suspectPause), err)
-		d.mendAll(ctx, now, d.streams.list())
+		d.suspect(t, now.Add(suspectTTL), err)
+		d.rerouteAll(ctx, now, d.streams.list())
 	}
-	d.log.Info("asked an engine for a sign of life", "target", t.ID, "dead", dead, "error", err, "control_error", controlErr)
+	d.log.Info("engine checked for liveness", "target", t.ID, "dead", dead, "error", err, "control_error", controlErr)
 	return dead
 }
 
-// errNoOther says that there is no other engine to ask.
-var errNoOther = errors.New("there is no other engine")
+// errNoControl is the result of a liveness control without another engine to ask.
+var errNoControl = errors.New("no other engine in the pool")
 
-// askOther asks any other engine of the same pool.
-func (d *Daemon) askOther(ctx context.Context, t *pkreplica.Target) error {
+// checkControl asks any other engine of the same pool for a report.
+func (d *Daemon) checkControl(ctx context.Context, t *pkreplica.Target) error {
 	now := time.Now()
 	live := slices.DeleteFunc(d.roster.Live(now, t.Service), func(o *pkreplica.Target) bool {
 		return o.ID == t.ID || o.Avoided(now)
 	})
 	if len(live) == 0 {
-		return errNoOther
+		return errNoControl
 	}
-	_, err := d.report(ctx, live[rand.N(len(live))])
+	_, err := d.readReport(ctx, live[rand.N(len(live))])
 	return err
 }
 
-// suspect passes a target over for a failure, here and at the other entries. Where nothing
-// listens at its address its process is gone, and all that passed through it.
+// suspect avoids a target after a failure and tells the other entries. A target that refuses
+// connections has no process, and all streams through it are lost.
 func (d *Daemon) suspect(t *pkreplica.Target, until time.Time, err error) {
-	one := suspicion{until: until, born: t.Born}
+	s := suspicion{until: until, born: t.Born}
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		one.fault = faultGone
+		s.fault = faultGone
 	}
-	d.pass(t, one)
-	d.sharing.suspect(t.ID, one)
+	d.applySuspicion(t, s)
+	d.sharing.announceSuspicion(t.ID, s)
 }
 
-// misplaced passes over a target that refused its part of a path as one that it does not
-// hold, here and at the other entries, until its entry says something new. It has started
-// again empty, and the list learns of that only once the target reaches the store; until then
-// each request that is sent to it is refused.
-func (d *Daemon) misplaced(now time.Time, t *pkreplica.Target) time.Time {
-	one := suspicion{until: now.Add(misdirectedPause), fault: faultMisplaced, born: t.Born, entry: d.roster.Revision(t.ID)}
+// suspectMisplaced avoids a target that refused a part of a path because it does not hold those
+// layers, and tells the other entries. The suspicion holds until the target's list entry changes:
+// it has restarted empty, and the list shows that only after the target has reached the store.
+func (d *Daemon) suspectMisplaced(now time.Time, t *pkreplica.Target) time.Time {
+	s := suspicion{until: now.Add(misdirectedPause), fault: faultMisplaced, born: t.Born, entry: d.roster.Revision(t.ID)}
 	if latest, found := d.roster.Target(t.ID); !found || latest != t {
-		return now // its entry has changed since it was chosen
+		return now // the list entry has changed since the target was chosen
 	}
-	d.pass(t, one)
-	d.sharing.suspect(t.ID, one)
-	return one.until
+	d.applySuspicion(t, s)
+	d.sharing.announceSuspicion(t.ID, s)
+	return s.until
 }
 
-func (d *Daemon) pass(t *pkreplica.Target, one suspicion) {
-	switch one.fault {
+func (d *Daemon) applySuspicion(t *pkreplica.Target, s suspicion) {
+	switch s.fault {
 	case faultGone:
-		t.Gone(one.until)
-		d.streams.look()
+		t.Gone(s.until)
+		d.streams.wakeUp()
 	case faultMisplaced:
-		t.Misplaced(one.until)
+		t.Misplaced(s.until)
 	case faultSilent:
-		t.Dead(one.until)
+		t.Dead(s.until)
 	}
 }
 
-// suspect tells the others that a target is passed over until a time, at once where that
-// is news. What one of them said is passed on in the same way, and what comes back to where
-// it began is no news.
-//
-// Told with the next message, at 78 entries it went by three of them, and half of the
-// streams of dead engines learned of it 220 to 260 ms after the crash.
-func (s *sharing) suspect(t pkid.TargetID, one suspicion) {
+// announceSuspicion tells the other entries of a suspicion at once if it is new. Suspicions
+// received from other entries are forwarded in the same way; one that comes back is not new and
+// ends there.
+func (s *sharing) announceSuspicion(t pkid.TargetID, next suspicion) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.suspects[t]
-	if old.born == one.born && one.until.Sub(old.until) <= suspectPause/2 && old.fault >= one.fault {
+	if old.born == next.born && next.until.Sub(old.until) <= suspectTTL/2 && old.fault >= next.fault {
 		return
 	}
-	s.suspects[t] = one
-	s.hurry()
+	s.suspects[t] = next
+	s.requestSend()
 }
 
-// hearSuspect passes a target over on another entry's word, and passes the word on where
-// there are hubs. What was said of an earlier start of the target, or by an earlier entry of
-// it, no longer holds.
-func (d *Daemon) hearSuspect(now time.Time, from pkid.EntryID, told pkshare.Suspect) {
-	one := suspicion{until: now.Add(time.Duration(told.ForMS) * time.Millisecond), born: told.Born, entry: told.Entry}
+// receiveSuspicion applies a suspicion reported by another entry and forwards it if there are hubs.
+// Reports about an earlier start of the target, or an earlier list entry of it, are dropped.
+func (d *Daemon) receiveSuspicion(now time.Time, from pkid.EntryID, report pkshare.Suspect) {
+	s := suspicion{until: now.Add(time.Duration(report.ForMS) * time.Millisecond), born: report.Born, entry: report.Entry}
 	switch {
-	case told.Gone:
-		one.fault = faultGone
-	case told.Misplaced:
-		one.fault = faultMisplaced
+	case report.Gone:
+		s.fault = faultGone
+	case report.Misplaced:
+		s.fault = faultMisplaced
 	}
-	if d.roster.Restarted(told.Target, told.Born) {
-		d.streams.look()
+	if d.roster.Restarted(report.Target, report.Born) {
+		d.streams.wakeUp()
 	}
-	if t, found := d.roster.Target(told.Target); found {
-		if d.outdated(t, one) {
+	if t, found := d.roster.Target(report.Target); found {
+		if d.outdated(t, s) {
 			return
 		}
 		if !t.IsDead(now) {
-			d.log.Info("a target is passed over on a peer's word", "target", t.ID, "peer", from, "gone", told.Gone,
-				"misplaced", told.Misplaced, "born", told.Born, "for_ms", told.ForMS)
+			d.log.Info("target suspected on a report from a peer", "target", t.ID, "peer", from, "gone", report.Gone,
+				"misplaced", report.Misplaced, "born", report.Born, "for_ms", report.ForMS)
 		}
-		d.pass(t, one)
+		d.applySuspicion(t, s)
 	}
 	if d.sharing.withHubs.Load() {
-		d.sharing.suspect(told.Target, one)
+		d.sharing.announceSuspicion(report.Target, s)
 	}
 }
 
-// outdated says whether more is known of a target than a suspicion was judged by.
-func (d *Daemon) outdated(t *pkreplica.Target, one suspicion) bool {
-	if one.born != 0 && t.Born > one.born {
+// outdated reports whether newer information about a target supersedes a suspicion.
+func (d *Daemon) outdated(t *pkreplica.Target, s suspicion) bool {
+	if s.born != 0 && t.Born > s.born {
 		return true
 	}
-	return one.fault == faultMisplaced && d.roster.Revision(t.ID) > one.entry
+	return s.fault == faultMisplaced && d.roster.Revision(t.ID) > s.entry
 }
--- a/pkedge/target_test.go
+++ b/pkedge/target_test.go
@@ -12,14 +12,13 @@
 	"peridotknot.example/platform/platformtest"
 )
 
-// silentWait is how long the caller of a silent target waits; the answer that it gets
-// is the router's at that time, or another target's before.
-const silentWait = 4 * time.Second
+// silentTimeout is how long the caller of a silent target waits for an answer, of another target or
+// a timeout by the router.
+const silentTimeout = 4 * time.Second
 
-// A target misbehaves once, at one moment of a request: before it is read, while it
-// runs, or in the middle of its answer. The caller must get the whole answer of a
-// target where the request may be repeated, and otherwise one that is true: what
-// is told as not run has not run, and what must run once at most does.
+// Guards against wrong answers when a target misbehaves once: before it reads the request, while it
+// runs, or within its answer. If the request is idempotent the caller must get the complete answer
+// of a target. Otherwise a request reported as not run must not have run, and none may run twice.
 func TestAMisbehavingTarget(t *testing.T) {
 	t.Parallel()
 	type want struct {
@@ -59,7 +58,7 @@
 				w.Next(b)
 				wait := patience
 				if b == platformtest.Silent {
-					wait = silentWait
+					wait = silentTimeout
 				}
 				got := n.doWithin(t, wait, method, "/"+kind+"/1?q=%2f", id, platformtest.Key, 0)
 				w.Next()
@@ -72,14 +71,14 @@
 					assert.Equal(t, got.header.Get(platformtest.SealHeader), "s")
 				}
 				if got.status >= 500 && got.status != 500 {
-					assert.Equal(t, got.header.Get(platformtest.SealHeader), "", "a failure of the router's own bears no signature")
+					assert.Equal(t, got.header.Get(platformtest.SealHeader), "", "an error answer of the router is not signed")
 				}
 				for _, run := range runs {
 					assert.Equal(t, run.Account, platformtest.Account)
-					assert.Equal(t, run.Key, "", "the key stays with the router")
+					assert.Equal(t, run.Key, "", "the key is not forwarded")
 					assert.Equal(t, run.URI, "/"+kind+"/1?q=%2f")
 				}
-				// What a connection was left with must not reach the next caller.
+				// Data left over on a connection must not reach the next caller.
 				next := n.do(t, http.MethodGet, "/read/2", id+"-next", platformtest.Key, 0)
 				assert.Equal(t, next.body, platformtest.Body(id+"-next"))
 			})
@@ -87,10 +86,9 @@
 	}
 }
 
-// A target's process has died and its port refuses connections; its entry lapses only
-// seconds later. The retry budget is spent. Nothing was sent to the target, so that the
-// next one may be asked all the same: no caller must be turned away.
-func TestARefusedConnectionIsNoSend(t *testing.T) {
+// Guards against turning callers away when the retry budget is spent and a target refuses
+// connections: nothing was sent, so the next target may be tried.
+func TestRefusedConnectionIsNotCountedAsASend(t *testing.T) {
 	t.Parallel()
 	w := platformtest.NewWorld()
 	t.Cleanup(w.Close)
@@ -115,9 +113,9 @@
 	}
 }
 
-// The same, with two entries. One has found the target out by a caller of its own; the
-// other must not need one for that.
-func TestOthersAreToldOfARefusedConnection(t *testing.T) {
+// Guards against each entry finding a refused connection by a caller of its own: the first one must
+// tell the others.
+func TestPeersLearnOfARefusedConnection(t *testing.T) {
 	t.Parallel()
 	w := platformtest.NewWorld()
 	t.Cleanup(w.Close)
@@ -136,7 +134,7 @@
 		one.do(t, http.MethodGet, "/read/1", fmt.Sprintf("one-%d", i), platformtest.Key, 0)
 		return one.metric(t, unreachable) != ""
 	})
-	eventually(t, "word of it", func() bool { return two.metric(t, "peridotknot_targets_avoided") == "1" })
+	eventually(t, "the report about the target", func() bool { return two.metric(t, "peridotknot_targets_avoided") == "1" })
 	got := two.do(t, http.MethodGet, "/read/1", "two", platformtest.Key, 0)
 	assert.Equal(t, got.status, http.StatusOK)
 	assert.Equal(t, two.metric(t, unreachable), "")
--- a/pkedge/watch.go
+++ b/pkedge/watch.go
@@ -13,23 +13,22 @@
 )
 
 const (
-	// watchEvery is how often the engines to be watched are compared with the list.
-	watchEvery = 500 * time.Millisecond
-	// holdLeast is how soon a connection to the same engine is made again: engines close
-	// idle ones after a second or more, and reset those that are too many at once.
-	holdLeast = 200 * time.Millisecond
+	// watchInterval is how often the watched engines are compared with the list.
+	watchInterval = 500 * time.Millisecond
+	// minHoldInterval is the shortest time between connections to one engine: engines close idle
+	// connections after a second or more, and reset those beyond their limit.
+	minHoldInterval = 200 * time.Millisecond
 )
 
-// watchEngines holds an idle connection to each engine of its own data centre, where this
-// entry is among the first there. The connection ends with the engine's process, and no
-// other can be made: that says within milliseconds, and for certain, what silent streams say
-// after some tens more, of which callers accept few.
+// watchEngines holds an idle connection to each engine of its own data centre if this entry is
+// among the first there. The connection ends with the engine's process and cannot be made again,
+// which shows a crash within milliseconds and with certainty, sooner than silent streams do.
 func (d *Daemon) watchEngines(ctx context.Context) {
 	watched := map[process]context.CancelFunc{}
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	pktimer.Every(ctx, watchEvery, func(ctx context.Context) {
-		wanted := d.toWatch(time.Now())
+	pktimer.Every(ctx, watchInterval, func(ctx context.Context) {
+		wanted := d.watchedEngines(time.Now())
 		for one, cancel := range watched {
 			if _, still := wanted[one]; !still {
 				cancel()
@@ -54,8 +53,8 @@
 	born pkid.Birth
 }
 
-// toWatch returns the engines that this entry watches at now.
-func (d *Daemon) toWatch(now time.Time) map[process]*pkreplica.Target {
+// watchedEngines returns the engines that this entry watches at now.
+func (d *Daemon) watchedEngines(now time.Time) map[process]*pkreplica.Target {
 	out := map[process]*pkreplica.Target{}
 	table := d.book.Table()
 	if table == nil || !d.sharing.first.Load() {
@@ -66,7 +65,7 @@
 		if s.Engine == nil {
 			continue
 		}
-		for _, t := range d.engines(now, s.ID, s.Engine) {
+		for _, t := range d.liveEngines(now, s.ID, s.Engine) {
 			if t.DataCenter == d.settings.DataCenter {
 				out[process{id: t.ID, addr: t.Addr, born: t.Born}] = t
 			}
@@ -75,17 +74,17 @@
 	return out
 }
 
-// watchEngine holds connections to an engine, one after the other, until ctx ends.
+// watchEngine holds connections to an engine, one after another, until ctx ends.
 func (d *Daemon) watchEngine(ctx context.Context, t *pkreplica.Target) {
 	for ctx.Err() == nil {
 		began := time.Now()
 		err := d.Engines.Hold(ctx, t.Addr)
 		now := time.Now()
-		pause := holdLeast - now.Sub(began)
+		pause := minHoldInterval - now.Sub(began)
 		if ctx.Err() == nil && errors.Is(err, syscall.ECONNREFUSED) {
-			d.suspect(t, now.Add(suspectPause), err)
-			d.log.Info("an engine's process is gone", "target", t.ID, "error", err)
-			pause = suspectPause / 2
+			d.suspect(t, now.Add(suspectTTL), err)
+			d.log.Info("engine process is gone", "target", t.ID, "error", err)
+			pause = suspectTTL / 2
 		}
 		if !pktimer.Sleep(ctx, max(pause, 0)) {
 			return
--- a/pkedge/watch_test.go
+++ b/pkedge/watch_test.go
@@ -13,37 +13,35 @@
 	"peridotknot.example/pkowner"
 )
 
-// mortalEngines end idle connections as engines do, and all of them when they die; then they
-// refuse others.
-type mortalEngines struct {
+// crashingEngines close idle connections after idleTimeout, and refuse connections from crashAt on.
+type crashingEngines struct {
 	pkowner.Engines
-	idle  time.Duration
-	death time.Time
+	idleTimeout time.Duration
+	crashAt     time.Time
 }
 
-func (e mortalEngines) Hold(ctx context.Context, _ string) error {
+func (e crashingEngines) Hold(ctx context.Context, _ string) error {
 	now := time.Now()
-	if !now.Before(e.death) {
+	if !now.Before(e.crashAt) {
 		return fmt.Errorf("hold: %w", syscall.ECONNREFUSED)
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(min(e.idle, e.death.Sub(now))):
+	case <-time.After(min(e.idleTimeout, e.crashAt.Sub(now))):
 	}
 	return nil
 }
 
-// An engine dies between two events of all of its streams. They fall silent, and only after
-// 60 to 120 ms does silence say that something is wrong, with a pause of 200 ms all that
-// callers accept. The connection that an entry holds to the engine ends at once; an engine
-// that closes idle connections must not be taken for one that died.
-func TestAnEngineIsGoneAsSoonAsItsConnectionIs(t *testing.T) {
+// Guards against finding a crashed engine only by its silent streams: the connection held to it
+// must show the crash at once. An engine that closes idle connections must not be taken for
+// crashed.
+func TestEngineCrashEndsHeldConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, _ := poolDaemon(engine("mortal", "a", 0, 80))
 		one, _ := d.roster.Target("mortal")
 		began := time.Now()
 		const idle, life = 1500 * time.Millisecond, 10 * time.Second
-		d.Engines = mortalEngines{idle: idle, death: began.Add(life)}
+		d.Engines = crashingEngines{idleTimeout: idle, crashAt: began.Add(life)}
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() {
--- a/pkedge/watchdog.go
+++ b/pkedge/watchdog.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// firstEventWait is how long a stream may stay without its first event before
-	// its engines are asked: a prompt is read in 60 ms, under load in 300 ms.
-	firstEventWait = 900 * time.Millisecond
-	// nextEventWait is the same between events, which come each 30 to 60 ms.
-	nextEventWait = 450 * time.Millisecond
-	// giveUpAfter is how often a silent path is asked before another takes over.
-	giveUpAfter = 3
+	// firstEventTimeout is how long a stream may wait for its first event before its path is
+	// checked. A prompt is read within 300 ms under load.
+	firstEventTimeout = 900 * time.Millisecond
+	// nextEventTimeout is the same between events, which come every 30 to 60 ms.
+	nextEventTimeout = 450 * time.Millisecond
+	// maxSilentChecks is the number of checks after which a path without a first event is given up.
+	maxSilentChecks = 3
 )
 
-// watchdog asks a silent path for the engine that it waits for.
+// watchdog checks the path of a stream whose events stop.
 type watchdog struct {
 	timer *time.Timer
 	fired chan struct{}
@@ -24,7 +24,7 @@
 	done  chan struct{}
 }
 
-func (w *watchdog) event() { w.timer.Reset(nextEventWait) }
+func (w *watchdog) reset() { w.timer.Reset(nextEventTimeout) }
 
 func (w *watchdog) stop() {
 	w.timer.Stop()
@@ -32,13 +32,13 @@
 	<-w.done
 }
 
-// watchOver cancels an attempt whose path waits for a dead engine, or has no first
-// event for long without one being known, where another attempt can take over.
-// Engines cut such a request themselves, but only after seconds; where nothing can
-// take over, or engines live, an answer that is late is better than one broken off.
-func (c *call) watchOver(ctx context.Context, a *attempt) *watchdog {
+// startWatchdog starts a watchdog that cancels an attempt if another one can take over and the path
+// waits for a dead engine, or has had no first event after maxSilentChecks. Engines end such a
+// request themselves, but only after seconds. Without a replacement, or with live engines, a late
+// answer is better than a broken one.
+func (c *call) startWatchdog(ctx context.Context, a *attempt) *watchdog {
 	w := &watchdog{fired: make(chan struct{}, 1), quit: make(chan struct{}), done: make(chan struct{})}
-	w.timer = time.AfterFunc(firstEventWait, func() {
+	w.timer = time.AfterFunc(firstEventTimeout, func() {
 		select {
 		case w.fired <- struct{}{}:
 		default:
@@ -46,34 +46,34 @@
 	})
 	go func() {
 		defer close(w.done)
-		for asked := 1; ; asked++ {
+		for checks := 1; ; checks++ {
 			select {
 			case <-w.quit:
 				return
 			case <-w.fired:
 			}
-			if (c.stalled(ctx, a) || (asked >= giveUpAfter && a.count() == 0)) && a.again && c.mayMove(a, whyDead) {
+			if (c.checkStalled(ctx, a) || (checks >= maxSilentChecks && a.eventCount() == 0)) && a.canRetry && c.reserveRetry(a, reasonDead) {
 				a.cancel(errSilent)
 				return
 			}
-			w.timer.Reset(nextEventWait)
+			w.timer.Reset(nextEventTimeout)
 		}
 	}()
 	return w
 }
 
-// stalled asks the first engine of a path what the request waits for.
-func (c *call) stalled(parent context.Context, a *attempt) bool {
+// checkStalled asks the first engine of a path for stalled requests, suspects the engines that they
+// wait for and reports whether this request is among them.
+func (c *call) checkStalled(parent context.Context, a *attempt) bool {
 	ctx, cancel := context.WithTimeout(parent, orderTimeout/2)
 	defer cancel()
-	first := a.route().first()
-	if len(a.route().hops) == 0 {
-		return false // plain services make no reports
+	first := a.currentPath().first()
+	if len(a.currentPath().hops) == 0 {
+		return false // plain services have no reports
 	}
-	report, err := c.report(ctx, first)
+	report, err := c.readReport(ctx, first)
 	if parent.Err() != nil {
-		// The attempt has ended meanwhile, which says nothing of the engine. Taken for a
-		// failure, it had all entries pass over a live first engine for four seconds.
+		// The attempt was canceled meanwhile, which is no failure of the engine.
 		return false
 	}
 	now := time.Now()
@@ -82,22 +82,22 @@
 	}
 	if err != nil {
 		if c.r.Context().Err() == nil {
-			c.suspect(first, now.Add(suspectPause), err)
-			c.log.Info("a silent engine is passed over", "target", first.ID, "request_id", c.req.Ask.ID, "error", err)
+			c.suspect(first, now.Add(suspectTTL), err)
+			c.log.Info("unresponsive engine suspected", "target", first.ID, "request_id", c.req.Ask.ID, "error", err)
 		}
 		return true
 	}
 	found := false
 	for _, one := range report.Stalled {
-		for _, t := range a.route().targets {
+		for _, t := range a.currentPath().targets {
 			if t.Addr != one.Addr {
 				continue
 			}
 			found = found || one.ID == c.req.Ask.ID
 			if !t.IsDead(now) {
-				c.log.Info("an engine that others wait for is passed over", "target", t.ID, "request_id", one.ID)
+				c.log.Info("stalled engine suspected", "target", t.ID, "request_id", one.ID)
 			}
-			c.suspect(t, now.Add(suspectPause), nil)
+			c.suspect(t, now.Add(suspectTTL), nil)
 		}
 	}
 	return found
