--- a/pklayers/doc.go
+++ b/pklayers/doc.go
@@ -1,10 +1,8 @@
-// Package pklayers decides which engine holds which layers of a model, and
-// which engines a request passes through.
+// Package pklayers assigns model layers to engines and finds the path of a request through them.
 //
-// No engine holds a whole model. A Model says how large its layers are and what
-// each kind of accelerator can do. Plan is a pure function from the engines and
-// what they hold now to what they should hold next. A Path is a list of parts
-// that runs each layer once and in order; Find chooses the cheapest one, and a
-// part may use less than an engine holds, so that paths can pass from one row of
-// engines to another wherever their ranges overlap.
+// No engine holds a whole model. A Model describes the size of its layers and the speed of each
+// kind of accelerator. Plan is a pure function from the engines and the layers they hold now to the
+// layers they should hold next. A Path is a sequence of engines that runs each layer once and in
+// order, and Find returns the cheapest one. A path may use only some of the layers that an engine
+// holds, so it can switch between engines wherever their ranges overlap.
 package pklayers
--- a/pklayers/group.go
+++ b/pklayers/group.go
@@ -2,71 +2,72 @@
 
 import "peridotknot.example/pkid"
 
-// group is the data centres whose engines run all layers among themselves.
+// group is a set of data centres whose engines together hold all layers.
 type group map[pkid.DataCenter]bool
 
-// groups returns each data centre that holds the model with room for requests, and all
-// others together. What passes between data centres is the whole prompt, a megabyte for
-// fifty tokens, and the tokens of all streams wait behind it in the pipe; so a path should
-// leave its data centre only where that lacks layers.
-func groups(m *Model, cards []Card) []group {
-	var own []group
+// groups returns one group for each data centre that can hold the whole model at nominal capacity,
+// and one for all others together. Between data centres the activations of the whole prompt are
+// transferred and delay the tokens of all other streams on the link, so a path should leave its
+// data centre only for layers that are missing there.
+func groups(m *Model, engines []Card) []group {
+	var out []group
 	layers := map[pkid.DataCenter]int{}
-	usual := map[pkid.Kind]int{}
-	var centers []pkid.DataCenter
-	for i := range cards {
-		dc := cards[i].DataCenter
+	nominal := map[pkid.Kind]int{}
+	var dataCenters []pkid.DataCenter
+	for i := range engines {
+		dc := engines[i].DataCenter
 		if layers[dc] == 0 {
-			centers = append(centers, dc)
+			dataCenters = append(dataCenters, dc)
 		}
-		k := cards[i].Kind
-		if _, known := usual[k]; !known {
-			usual[k] = m.usualLayers(k)
+		k := engines[i].Kind
+		if _, known := nominal[k]; !known {
+			nominal[k] = m.nominalLayers(k)
 		}
-		layers[dc] += usual[k]
+		layers[dc] += nominal[k]
 	}
-	rest := group{}
-	for _, dc := range centers {
+	remaining := group{}
+	for _, dc := range dataCenters {
 		if layers[dc] >= m.Layers {
-			own = append(own, group{dc: true})
+			out = append(out, group{dc: true})
 		} else {
-			rest[dc] = true
+			remaining[dc] = true
 		}
 	}
-	if len(rest) > 0 {
-		own = append(own, rest)
+	if len(remaining) > 0 {
+		out = append(out, remaining)
 	}
-	return own
+	return out
 }
 
-// usualRoom returns how many tokens an engine should have room for beside its layers: what
-// the pool declares. With much less, requests are refused while layers stand twice; with much
-// more, hardly a layer is held by two engines, and each crash sends streams through the pipes.
-func (m *Model) usualRoom() float64 {
+// nominalCapacity returns how many tokens of KV cache an engine should have beside its layers: what
+// the model declares, or else enough for defaultConcurrency requests. With much less, requests are
+// refused while layers are held twice; with much more, few layers are held by two engines, and each
+// crash sends streams over the links between data centres.
+func (m *Model) nominalCapacity() float64 {
 	if m.EngineTokens > 0 {
 		return float64(m.EngineTokens)
 	}
-	return engineRequests * float64(m.PromptTokens+m.AnswerTokens)
+	return defaultConcurrency * float64(m.PromptTokens+m.AnswerTokens)
 }
 
-// usualLayers returns how many layers an accelerator holds with the usual room beside
-// them, or in a share of its memory where the pool says nothing of its requests.
-func (m *Model) usualLayers(k pkid.Kind) int {
+// nominalLayers returns how many layers an accelerator holds beside the nominal capacity, or in
+// defaultLayerShare of its memory where the nominal capacity is unknown.
+func (m *Model) nominalLayers(k pkid.Kind) int {
 	n := m.Most(k)
-	if m.usualRoom() == 0 {
-		return max(int(layerShare*float64(n)), 1)
+	if m.nominalCapacity() == 0 {
+		return max(int(defaultLayerShare*float64(n)), 1)
 	}
-	for n > 1 && m.Room(k, n) < m.usualRoom() {
+	for n > 1 && m.Room(k, n) < m.nominalCapacity() {
 		n--
 	}
 	return n
 }
 
-// leastRoomLayers returns how many layers an accelerator holds where room for a few
-// requests must do.
-func (m *Model) leastRoomLayers(k pkid.Kind) int {
+// minCapacityLayers returns how many layers an accelerator holds if it keeps only minCapacityShare
+// of the nominal capacity.
+func (m *Model) minCapacityLayers(k pkid.Kind) int {
 	n := m.Most(k)
-	for n > 1 && m.Room(k, n) < leastRoomShare*m.usualRoom() {
+	for n > 1 && m.Room(k, n) < minCapacityShare*m.nominalCapacity() {
 		n--
 	}
 	return n
--- a/pklayers/layout.go
+++ b/pklayers/layout.go
@@ -7,16 +7,16 @@
 	"peridotknot.example/pkid"
 )
 
-// layOut plans a new pool, group by group. The fastest engines of a group come first and
-// stand side by side; each takes as many layers as leave it the usual room, where the
-// group has the least, so what is left over after one whole copy holds layers twice. With
-// one copy in a data centre and all of its memory for requests, each lost engine sent a
-// third of all streams through two pipes, which then were full.
+// layOut plans a new pool from scratch, group by group. The fastest engines of a group come first
+// and are given adjacent ranges. Each engine takes as many layers as its nominal capacity allows,
+// where the group has the least capacity, so that memory left over after one copy of the model
+// holds layers twice. With a single copy, each lost engine would send its data centre's streams
+// over the links to others.
 func layOut(m *Model, live []Card) map[pkid.TargetID]pkid.Range {
 	sorted := slices.Clone(live)
 	slices.SortStableFunc(sorted, func(a, b Card) int {
-		x, y := m.Kinds[a.Kind], m.Kinds[b.Kind]
-		return cmp.Or(cmp.Compare(x.StepFactor, y.StepFactor), cmp.Compare(y.MemoryMB, x.MemoryMB))
+		ka, kb := m.Kinds[a.Kind], m.Kinds[b.Kind]
+		return cmp.Or(cmp.Compare(ka.StepFactor, kb.StepFactor), cmp.Compare(kb.MemoryMB, ka.MemoryMB))
 	})
 	for i := range sorted {
 		sorted[i].Held, sorted[i].Fresh = pkid.Range{}, false
--- a/pklayers/pipes_test.go
+++ b/pklayers/link_usage_test.go
@@ -9,10 +9,9 @@
 	"peridotknot.example/pkid"
 )
 
-// Callers see pauses of half a second though no engine is busy. Streams take the fast
-// engines, which stand in two data centres, rather than the slow ones of one; each
-// adds its prompt to the pipe between them, and all wait for one another's prompts.
-func TestStreamsLeaveABusyPipeBeforeItIsFull(t *testing.T) {
+// Guards against pauses on a congested link: streams that prefer fast engines in two data centres
+// must return to the slow ones of their own before the link is full.
+func TestPathAvoidsCongestedLink(t *testing.T) {
 	m := testModel()
 	engines := []Engine{
 		{ID: "fast-1", DataCenter: "a", Kind: "h100", Held: pkid.Range{First: 0, End: 40}, Cost: m.StepTime("h100", 1)},
@@ -21,38 +20,36 @@
 	}
 	perSecond := float64(time.Second) / float64(m.TransferTime(1))
 	for _, row := range []struct {
-		use     float64
-		crosses bool
+		utilization float64
+		crosses     bool
 	}{
 		{0, true}, {0.3, true}, {0.5, false}, {0.9, false}, {5, false},
 	} {
 		c := Costs{Hop: 100 * time.Microsecond, Crossing: func(_, _ pkid.DataCenter) time.Duration {
-			return m.PipeCost(row.use * perSecond)
+			return m.PipeCost(row.utilization * perSecond)
 		}}
 		p, found := Find(m.All(), engines, c, "a")
 		assert.Assert(t, found)
 		crosses := p.Parts[len(p.Parts)-1].ID == "fast-2"
-		assert.Equal(t, crosses, row.crosses, "at a use of %v", row.use)
+		assert.Equal(t, crosses, row.crosses, "at a utilization of %v", row.utilization)
 	}
 }
 
-func TestPipeCostGrowsWithUse(t *testing.T) {
+func TestLinkCostGrowsWithUtilization(t *testing.T) {
 	m := testModel()
 	assert.Equal(t, m.PipeCost(0), time.Duration(0))
 	last := time.Duration(0)
 	for tokens := 1000.0; tokens < 40_000; tokens += 1000 {
 		cost := m.PipeCost(tokens)
-		assert.Assert(t, cost > last, "at %v tokens", tokens)
+		assert.Assert(t, cost > last, "at %v tokens in flight", tokens)
 		last = cost
 	}
-	assert.Equal(t, m.PipeCost(1e6), m.PipeCost(1e9), "a full pipe still has a price")
+	assert.Equal(t, m.PipeCost(1e6), m.PipeCost(1e9), "the cost of a saturated link is bounded")
 }
 
-// A data centre has lost engines, and its requests can only be served over a pipe that is
-// full. Sent there, their callers leave after two seconds without an event, and so do those
-// who were there before. A new request must find no path, and its caller come back later;
-// one whose answer has begun takes what there is.
-func TestAFullPipeIsNoPathForNewRequests(t *testing.T) {
+// Guards against new requests joining a saturated link, where they and the streams already on it
+// would time out. A request whose answer has begun has no cost limit and takes the path anyway.
+func TestSaturatedLinkExceedsCostLimit(t *testing.T) {
 	m := testModel()
 	engines := []Engine{
 		{ID: "near", DataCenter: "a", Kind: "l4", Held: pkid.Range{First: 0, End: 40}, Cost: m.StepTime("l4", 1)},
@@ -60,13 +57,13 @@
 	}
 	perSecond := float64(time.Second) / float64(m.TransferTime(1))
 	for _, row := range []struct {
-		use   float64
-		most  time.Duration
-		found bool
+		utilization float64
+		maxCost     time.Duration
+		found       bool
 	}{
 		{0.5, 400 * time.Millisecond, true}, {0.95, 400 * time.Millisecond, false}, {0.95, 0, true},
 	} {
-		c := Costs{Most: row.most, Crossing: func(_, _ pkid.DataCenter) time.Duration { return m.PipeCost(row.use * perSecond) }}
+		c := Costs{Most: row.maxCost, Crossing: func(_, _ pkid.DataCenter) time.Duration { return m.PipeCost(row.utilization * perSecond) }}
 		_, found := Find(m.All(), engines, c, "a")
 		assert.Equal(t, found, row.found, "%+v", row)
 	}
--- a/pklayers/model.go
+++ b/pklayers/model.go
@@ -6,48 +6,48 @@
 	"peridotknot.example/pkid"
 )
 
-// Accelerator is what one kind of accelerator can do.
+// Accelerator is the memory and speed of one kind of accelerator.
 type Accelerator struct {
-	// MemoryMB is the memory for layers and requests together.
+	// MemoryMB is the memory for layers and KV cache together.
 	MemoryMB float64
-	// StepFactor multiplies the time of a token step.
+	// StepFactor multiplies the time of a decode step.
 	StepFactor float64
-	// ReadFactor multiplies the time to read a prompt.
+	// ReadFactor multiplies the prefill time.
 	ReadFactor float64
 }
 
-// Model is the size of a model and the speed of its engines.
+// Model describes the size of a model and the speed of its engines.
 type Model struct {
 	Layers  int
 	LayerMB float64
-	// TokenBytes is the memory of one token over all layers.
+	// TokenBytes is the KV cache of one token over all layers.
 	TokenBytes float64
-	// EngineTokens is the memory for requests that an engine is declared to have.
+	// EngineTokens is the declared KV-cache capacity of an engine.
 	EngineTokens pkid.Tokens
-	// ActivationBytes is what passes between engines for one token.
+	// ActivationBytes is what is sent between engines for one token.
 	ActivationBytes float64
-	// PipeMbps is the bandwidth between two data centres, shared by all.
+	// PipeMbps is the bandwidth of the link between two data centres, shared by all entries.
 	PipeMbps float64
-	// Step is the time of a token step over all layers at factor 1.
+	// Step is the time of a decode step over all layers at factor 1.
 	Step time.Duration
-	// ReadPerSecond is how many prompt tokens are read over all layers at factor 1.
+	// ReadPerSecond is the prefill rate over all layers at factor 1, in tokens a second.
 	ReadPerSecond float64
-	// Chunk is how many prompt tokens are read at a time.
+	// Chunk is the number of prompt tokens in one prefill chunk.
 	Chunk int
-	// EventTokens is how many tokens an event of a stream holds; zero counts as one.
+	// EventTokens is the number of tokens in an event of a stream; zero counts as one.
 	EventTokens int
 	// LoadTime is how long all layers take to load.
 	LoadTime time.Duration
-	// PromptTokens and AnswerTokens are the usual sizes of a request.
+	// PromptTokens and AnswerTokens are the typical sizes of a request.
 	PromptTokens pkid.Tokens
 	AnswerTokens pkid.Tokens
-	// Kinds are the accelerators by name.
+	// Kinds maps each kind of accelerator to its properties.
 	Kinds map[pkid.Kind]Accelerator
-	// delays is the time of one way between two data centres.
+	// delays is the one-way delay between two data centres.
 	delays map[pair]time.Duration
 }
 
-// SetDelay records the time of one way between two data centres.
+// SetDelay records the one-way delay between two data centres.
 func (m *Model) SetDelay(a, b pkid.DataCenter, d time.Duration) {
 	if m.delays == nil {
 		m.delays = map[pair]time.Duration{}
@@ -55,18 +55,18 @@
 	m.delays[pairOf(a, b)] = d
 }
 
-// Delay returns the time of one way between two data centres; zero where none is known.
+// Delay returns the one-way delay between two data centres; zero if unknown.
 func (m *Model) Delay(a, b pkid.DataCenter) time.Duration { return m.delays[pairOf(a, b)] }
 
-// All returns all layers of the model.
+// All returns the range of all layers of the model.
 func (m *Model) All() pkid.Range { return pkid.Range{End: pkid.Layer(m.Layers)} }
 
-// Has says whether the model has all layers of a range.
+// Has reports whether the range lies within the layers of the model.
 func (m *Model) Has(r pkid.Range) bool {
 	return r.First >= 0 && r.First <= r.End && int(r.End) <= m.Layers
 }
 
-// Most returns how many layers an accelerator can hold with no memory left.
+// Most returns how many layers fit on an accelerator that keeps no memory for KV cache.
 func (m *Model) Most(k pkid.Kind) int {
 	if m.LayerMB <= 0 {
 		return 0
@@ -74,7 +74,7 @@
 	return min(int(m.Kinds[k].MemoryMB/m.LayerMB), m.Layers)
 }
 
-// Room returns how many tokens of requests fit beside n layers.
+// Room returns the KV-cache capacity, in tokens, beside n layers; negative if they do not fit.
 func (m *Model) Room(k pkid.Kind, n int) float64 {
 	const bytesPerMB = 1e6
 	if n <= 0 || m.Layers <= 0 {
@@ -84,12 +84,12 @@
 	return (m.Kinds[k].MemoryMB - m.LayerMB*float64(n)) * bytesPerMB / perToken
 }
 
-// StepTime returns the time of a token step over n layers.
+// StepTime returns the time of a decode step over n layers.
 func (m *Model) StepTime(k pkid.Kind, n int) time.Duration {
 	return time.Duration(float64(m.Step) * m.Kinds[k].StepFactor * float64(n) / float64(max(m.Layers, 1)))
 }
 
-// ReadTime returns the time to read tokens of a prompt over n layers.
+// ReadTime returns the time to prefill tokens over n layers.
 func (m *Model) ReadTime(k pkid.Kind, n int, tokens float64) time.Duration {
 	if m.ReadPerSecond <= 0 {
 		return 0
@@ -98,7 +98,7 @@
 	return time.Duration(tokens / m.ReadPerSecond * m.Kinds[k].ReadFactor * share * float64(time.Second))
 }
 
-// TransferTime returns how long tokens take through the pipe between data centres.
+// TransferTime returns how long the activations of tokens occupy the link between data centres.
 func (m *Model) TransferTime(tokens float64) time.Duration {
 	if m.PipeMbps <= 0 {
 		return 0
--- a/pklayers/path.go
+++ b/pklayers/path.go
@@ -6,7 +6,7 @@
 	"peridotknot.example/pkid"
 )
 
-// Engine is one engine as the search for a path sees it.
+// Engine is one engine in the search for a path.
 type Engine struct {
 	ID         pkid.TargetID
 	DataCenter pkid.DataCenter
@@ -14,30 +14,30 @@
 	Held       pkid.Range
 	// Cost is the time that one layer takes for one token under the present load.
 	Cost time.Duration
-	// Enter is the time that a token waits before the engine takes it up.
+	// Enter is the time that a token waits before the engine processes it.
 	Enter time.Duration
 }
 
-// Part is one engine's part of a path.
+// Part is an engine and the layers that it runs on a path.
 type Part struct {
 	ID     pkid.TargetID
 	Layers pkid.Range
 }
 
-// Costs are what it takes to pass from one engine to another.
+// Costs are the costs of passing from one engine to another.
 type Costs struct {
 	// Hop is added for each engine after the first.
 	Hop time.Duration
-	// Most is the cost from which on a path counts as none; zero sets no bound.
+	// Most is the highest cost of a path that is accepted; zero sets no bound.
 	Most time.Duration
-	// Crossing returns what is added for passing between two data centres.
+	// Crossing returns the cost of passing between two data centres.
 	Crossing func(from, to pkid.DataCenter) time.Duration
-	// Reach returns what is added for the first engine where it is in another data centre
-	// than home; nil counts as Crossing.
+	// Reach returns the cost of reaching a first engine outside the home data centre; if nil,
+	// Crossing is used.
 	Reach func(from, to pkid.DataCenter) time.Duration
 }
 
-// reach returns what it takes to come to the first engine.
+// reach returns the cost of reaching the first engine.
 func (c Costs) reach(home, to pkid.DataCenter) time.Duration {
 	if c.Reach == nil {
 		return crossing(c, home, to)
@@ -48,80 +48,81 @@
 	return c.Reach(home, to)
 }
 
-// Path is the parts that a request passes through, and what a token takes.
+// Path is the engines that a request passes through and the time of a token over them.
 type Path struct {
 	Parts []Part
 	Cost  time.Duration
 }
 
-// maxParts is how many parts engines accept in a path.
-const maxParts = 32
+// maxStages is how many engines may be on a path; engines refuse longer ones.
+const maxStages = 32
 
-// Find returns the cheapest path over a span of layers that is reached from a data
-// centre; an empty one counts as near to all.
+// Find returns the cheapest path over a span of layers for requests from a home data centre; an
+// empty home is at no distance from any engine.
 //
-// Paths change engines only where some engine's range begins or ends: between two
-// such cuts the same engines are there to be had, so a change would only add a hop.
+// Paths change engines only where some engine's range begins or ends: between two such boundaries
+// the set of engines is the same, and a change would only add a hop.
 func Find(span pkid.Range, engines []Engine, c Costs, home pkid.DataCenter) (Path, bool) {
-	s := newSearch(span, useful(engines), c, home)
+	s := newSearch(span, pruneDominated(engines), c, home)
 	if s == nil {
 		return Path{}, false
 	}
-	s.run()
-	if p, found := s.cheapest(); found || !s.returned {
+	s.solve()
+	if p, found := s.cheapestPath(); found || !s.revisited {
 		return p, found
 	}
-	// One that was passed over as like another may take the place of an engine that is come back to.
+	// An engine pruned as dominated may be able to replace one that a path would revisit.
 	s = newSearch(span, engines, c, home)
-	s.run()
-	return s.cheapest()
+	s.solve()
+	return s.cheapestPath()
 }
 
-// useful leaves out engines beside which another of the same data centre holds the same layers
-// and costs no more. Pools of thousands of engines have some hundred ranges, so that most of
-// their engines are left out.
-func useful(engines []Engine) []Engine {
-	type place struct {
+// pruneDominated leaves out engines for which another of the same data centre holds the same layers
+// at no higher cost. Pools of thousands of engines have only hundreds of distinct ranges, so most
+// engines are left out.
+func pruneDominated(engines []Engine) []Engine {
+	type location struct {
 		dataCenter pkid.DataCenter
 		held       pkid.Range
 	}
-	kept := make([]Engine, 0, min(len(engines), usualUseful))
-	// first is the first engine that was kept of a place, next the one after another of its place.
-	first := make(map[place]int32, min(len(engines), usualUseful))
-	next := make([]int32, 0, min(len(engines), usualUseful))
+	kept := make([]Engine, 0, min(len(engines), prunedSizeHint))
+	// first is the head of the list of kept engines at each location, next links each to the one
+	// after it.
+	first := make(map[location]int32, min(len(engines), prunedSizeHint))
+	next := make([]int32, 0, min(len(engines), prunedSizeHint))
 	for i := range engines {
-		one := &engines[i]
-		k := place{one.DataCenter, one.Held}
-		head, known := first[k]
+		e := &engines[i]
+		loc := location{e.DataCenter, e.Held}
+		head, known := first[loc]
 		if !known {
 			head = -1
 		}
-		if at, other := compare(kept, next, head, one); at >= 0 {
-			if other {
-				kept[at] = *one
+		if at, dominates := findDominance(kept, next, head, e); at >= 0 {
+			if dominates {
+				kept[at] = *e
 			}
 			continue
 		}
-		first[k] = int32(len(kept))
+		first[loc] = int32(len(kept))
 		next = append(next, head)
-		kept = append(kept, *one)
+		kept = append(kept, *e)
 	}
 	return kept
 }
 
-// usualUseful is how many engines are left in most pools.
-const usualUseful = 512
+// prunedSizeHint preallocates for the number of engines kept in most pools.
+const prunedSizeHint = 512
 
-// compare looks among the engines of one place for one that makes another needless, or that it
-// makes needless, which other says; at is negative where there is none.
-func compare(kept []Engine, next []int32, head int32, one *Engine) (at int32, other bool) {
-	for at = head; at >= 0; at = next[at] {
-		old := &kept[at]
+// findDominance returns the engine of a location that dominates e or that e dominates; the index is
+// negative if there is none.
+func findDominance(kept []Engine, next []int32, head int32, e *Engine) (i int32, dominates bool) {
+	for i = head; i >= 0; i = next[i] {
+		other := &kept[i]
 		switch {
-		case one.Cost >= old.Cost && one.Enter >= old.Enter:
-			return at, false
-		case one.Cost <= old.Cost && one.Enter <= old.Enter:
-			return at, true
+		case e.Cost >= other.Cost && e.Enter >= other.Enter:
+			return i, false
+		case e.Cost <= other.Cost && e.Enter <= other.Enter:
+			return i, true
 		}
 	}
 	return -1, false
--- a/pklayers/return_test.go
+++ b/pklayers/path_test.go
@@ -10,9 +10,9 @@
 	"peridotknot.example/pkid"
 )
 
-// Guards against requests that are refused as if the pool were full, since the cheapest way leaves an
-// engine for another and comes back to it, where the engine alone would do.
-func TestAnEngineIsKeptWhereAWayWouldComeBackToIt(t *testing.T) {
+// Guards against refusing requests because the cheapest path revisits an engine: the engine must
+// keep the layers in between.
+func TestPathDoesNotRevisitEngine(t *testing.T) {
 	p, found := Find(pkid.Range{End: 80}, []Engine{
 		{ID: "wide", Held: pkid.Range{End: 60}, Cost: 4 * time.Millisecond},
 		{ID: "fast", Held: pkid.Range{First: 20, End: 30}, Cost: time.Millisecond},
@@ -25,8 +25,8 @@
 	})
 }
 
-// Guards against requests that are refused while every layer has an engine with room.
-func TestAPathIsFoundWhereEveryLayerIsHeld(t *testing.T) {
+// Guards against requests that are refused though every layer is held by some engine.
+func TestPathExistsWhereEveryLayerIsHeld(t *testing.T) {
 	const layers = 20
 	rapid.Check(t, func(t *rapid.T) {
 		var engines []Engine
@@ -44,14 +44,14 @@
 				held[l] = true
 			}
 		}
-		whole := true
-		for _, one := range held {
-			whole = whole && one
+		covered := true
+		for _, h := range held {
+			covered = covered && h
 		}
 		c := Costs{Hop: time.Millisecond, Crossing: func(_, _ pkid.DataCenter) time.Duration { return 5 * time.Millisecond }}
 		p, found := Find(pkid.Range{End: layers}, engines, c, "x")
-		if found != whole {
-			t.Fatalf("found %v, every layer is held: %v", found, whole)
+		if found != covered {
+			t.Fatalf("found: %v, every layer is held: %v", found, covered)
 		}
 		next, seen := pkid.Layer(0), map[pkid.TargetID]bool{}
 		for _, part := range p.Parts {
--- a/pklayers/plan_test.go
+++ b/pklayers/plan_test.go
@@ -37,7 +37,7 @@
 	return out
 }
 
-// testPool is 39 engines of four kinds in three data centres.
+// testPool returns 39 engines of four kinds in three data centres.
 func testPool() []Card {
 	return poolOf(map[pkid.DataCenter]map[pkid.Kind]int{
 		"a": {"h100": 1, "a100s": 1, "l4": 5, "t4": 7},
@@ -46,24 +46,24 @@
 	})
 }
 
-func placed(t *testing.T, m *Model, cards []Card) []Card {
+func applyPlan(t *testing.T, m *Model, placements []Card) []Card {
 	t.Helper()
-	out := Plan(m, cards, steadyTime)
-	for i := range cards {
-		if r, changed := out[cards[i].ID]; changed {
-			cards[i].Held = r
+	out := Plan(m, placements, rebalanceDelay)
+	for i := range placements {
+		if r, changed := out[placements[i].ID]; changed {
+			placements[i].Held = r
 		}
-		assert.Assert(t, cards[i].Held.Len() <= m.Most(cards[i].Kind), "%v holds %v", cards[i].ID, cards[i].Held)
+		assert.Assert(t, placements[i].Held.Len() <= m.Most(placements[i].Kind), "%v holds %v", placements[i].ID, placements[i].Held)
 	}
-	return cards
+	return placements
 }
 
-func rowsOver(m *Model, cards []Card) int {
-	least := len(cards)
+func minCopies(m *Model, placements []Card) int {
+	least := len(placements)
 	for l := range m.Layers {
 		n := 0
-		for _, c := range cards {
-			if int(c.Held.First) <= l && l < int(c.Held.End) {
+		for _, e := range placements {
+			if int(e.Held.First) <= l && l < int(e.Held.End) {
 				n++
 			}
 		}
@@ -72,39 +72,39 @@
 	return least
 }
 
-// roomByLayer returns the room for tokens of each layer as a group sees it, where that of
-// other groups counts for a share.
-func roomByLayer(m *Model, live []Card, g group, far float64) []float64 {
-	room := make([]float64, m.Layers)
-	for _, c := range live {
-		tokens := max(m.Room(c.Kind, c.Held.Len()), 0)
-		if !g[c.DataCenter] {
-			tokens *= far
+// capacityByLayer returns the capacity of each layer in tokens, with engines outside the group
+// weighted by remote.
+func capacityByLayer(m *Model, placements []Card, g group, remote float64) []float64 {
+	capacity := make([]float64, m.Layers)
+	for _, e := range placements {
+		tokens := max(m.Room(e.Kind, e.Held.Len()), 0)
+		if !g[e.DataCenter] {
+			tokens *= remote
 		}
-		for l := c.Held.First; l < c.Held.End && int(l) < m.Layers; l++ {
-			room[l] += tokens
+		for l := e.Held.First; l < e.Held.End && int(l) < m.Layers; l++ {
+			capacity[l] += tokens
 		}
 	}
-	return room
+	return capacity
 }
 
-func dataCenters(cards []Card) []group {
+func dataCenterGroups(placements []Card) []group {
 	var out []group
-	for _, c := range cards {
-		if !slices.ContainsFunc(out, func(g group) bool { return g[c.DataCenter] }) {
-			out = append(out, group{c.DataCenter: true})
+	for _, e := range placements {
+		if !slices.ContainsFunc(out, func(g group) bool { return g[e.DataCenter] }) {
+			out = append(out, group{e.DataCenter: true})
 		}
 	}
 	return out
 }
 
-func near(cards []Card, g group) []Card {
-	return slices.DeleteFunc(slices.Clone(cards), func(c Card) bool { return !g[c.DataCenter] })
+func inGroup(placements []Card, g group) []Card {
+	return slices.DeleteFunc(slices.Clone(placements), func(e Card) bool { return !g[e.DataCenter] })
 }
 
-// widePool is 38 engines of three kinds in three data centres, of which none holds the
+// mixedPool returns 38 engines of three kinds in three data centres, none of which can hold the
 // model twice.
-func widePool() (*Model, []Card) {
+func mixedPool() (*Model, []Card) {
 	m := testModel()
 	m.TokenBytes, m.ActivationBytes, m.PipeMbps, m.ReadPerSecond, m.EngineTokens = 426000, 21300, 9300, 272000, 100_000
 	delete(m.Kinds, "h100")
@@ -113,149 +113,143 @@
 	})
 }
 
-func TestNewPoolIsLaidOutInEachDataCenter(t *testing.T) {
+func TestNewPoolCoversEachDataCenter(t *testing.T) {
 	m := testModel()
-	cards := placed(t, m, testPool())
-	for _, g := range dataCenters(cards) {
-		assert.Assert(t, rowsOver(m, near(cards, g)) >= 1, "%v lacks a layer", g)
+	placements := applyPlan(t, m, testPool())
+	for _, g := range dataCenterGroups(placements) {
+		assert.Assert(t, minCopies(m, inGroup(placements, g)) >= 1, "%v does not hold all layers", g)
 	}
-	for _, c := range cards {
-		assert.Assert(t, c.Held.Len() > 0, "%s (%s) is empty", c.ID, c.Kind)
-		assert.Assert(t, m.Room(c.Kind, c.Held.Len()) >= m.usualRoom(), "%s (%s) holds %v", c.ID, c.Kind, c.Held)
+	for _, e := range placements {
+		assert.Assert(t, e.Held.Len() > 0, "%s (%s) is empty", e.ID, e.Kind)
+		assert.Assert(t, m.Room(e.Kind, e.Held.Len()) >= m.nominalCapacity(), "%s (%s) holds %v", e.ID, e.Kind, e.Held)
 	}
-	assert.Equal(t, len(Plan(m, cards, steadyTime)), 0, "a plan that is carried out asks for nothing more")
+	assert.Equal(t, len(Plan(m, placements, rebalanceDelay)), 0, "a plan that was carried out changes nothing more")
 }
 
-// An engine crashes. Where it held the only copy of its layers in its data centre, all
-// streams that begin there go through two pipes, which fill up, and callers see pauses of
-// half a second for as long as the engine is away. Memory that requests do not need must
-// hold a second copy instead.
-func TestFewEnginesHoldTheOnlyCopyOfTheirDataCenter(t *testing.T) {
-	m, pool := widePool()
-	cards := placed(t, m, pool)
-	only := 0
-	for i := range cards {
-		left := slices.Delete(slices.Clone(cards), i, i+1)
-		if rowsOver(m, near(left, group{cards[i].DataCenter: true})) == 0 {
-			only++
+// Guards against layouts in which most engines hold the only copy of their layers in their data
+// centre, so that a crash sends its streams over congested links. Spare memory must hold second
+// copies.
+func TestFewEnginesHoldSoleCopyInDataCenter(t *testing.T) {
+	m, pool := mixedPool()
+	placements := applyPlan(t, m, pool)
+	soleHolders := 0
+	for i := range placements {
+		left := slices.Delete(slices.Clone(placements), i, i+1)
+		if minCopies(m, inGroup(left, group{placements[i].DataCenter: true})) == 0 {
+			soleHolders++
 		}
 	}
-	assert.Assert(t, only <= len(cards)*2/3, "%d of %d engines", only, len(cards))
+	assert.Assert(t, soleHolders <= len(placements)*2/3, "%d of %d engines are sole holders", soleHolders, len(placements))
 }
 
-// Prompts that are long wait for slow engines. The fast ones of three data centres together
-// hold the whole model, and a caller whose pipes are free can be served by them alone.
-func TestFastEnginesOfAllDataCentersMakeARow(t *testing.T) {
+// Guards against long prompts waiting for slow engines: the fast engines of all data centres must
+// together form a pipeline that covers as many layers as they can hold.
+func TestFastEnginesFormPipelineAcrossDataCenters(t *testing.T) {
 	for name, pool := range map[string]func() (*Model, []Card){
-		"wide":     widePool,
-		"with one": func() (*Model, []Card) { return testModel(), testPool() },
+		"mixed":     mixedPool,
+		"test pool": func() (*Model, []Card) { return testModel(), testPool() },
 	} {
-		m, cards := pool()
-		cards = placed(t, m, cards)
-		kinds := m.fastKinds(cards)
-		fast := slices.DeleteFunc(cards, func(c Card) bool { return !kinds[c.Kind] })
+		m, placements := pool()
+		placements = applyPlan(t, m, placements)
+		kinds := m.fastKinds(placements)
+		fast := slices.DeleteFunc(placements, func(e Card) bool { return !kinds[e.Kind] })
 		held := 0
-		for _, c := range fast {
-			held += c.Held.Len()
+		for _, e := range fast {
+			held += e.Held.Len()
 		}
 		missing := 0
-		for _, tokens := range roomByLayer(m, fast, nil, 1) {
+		for _, tokens := range capacityByLayer(m, fast, nil, 1) {
 			if tokens == 0 {
 				missing++
 			}
 		}
-		assert.Equal(t, missing, max(m.Layers-held, 0), "%s: %d layers over fast engines", name, held)
+		assert.Equal(t, missing, max(m.Layers-held, 0), "%s: fast engines hold %d layers", name, held)
 	}
 }
 
-// An engine crashes and comes back empty, or another takes its place. Until its
-// layers are loaded again, requests crowd on the engines that hold them too. The
-// plan must give room back where it is least and move no other engine.
-func TestEmptyEngineTakesTheWeakestLayers(t *testing.T) {
+// Guards against overload of the remaining copies after a crash: an empty engine must be given the
+// layers with the least capacity, and no other engine may move.
+func TestEmptyEngineTakesScarcestLayers(t *testing.T) {
 	m := testModel()
 	for gone := range testPool() {
-		cards := placed(t, m, testPool())
-		dc := cards[gone].DataCenter
-		before := slices.Min(roomByLayer(m, cards, group{dc: true}, 0))
-		cards[gone].Held = pkid.Range{}
-		cards[gone].ID = "new"
-		out := Plan(m, cards, steadyTime)
+		placements := applyPlan(t, m, testPool())
+		dc := placements[gone].DataCenter
+		before := slices.Min(capacityByLayer(m, placements, group{dc: true}, 0))
+		placements[gone].Held = pkid.Range{}
+		placements[gone].ID = "new"
+		out := Plan(m, placements, rebalanceDelay)
 		assert.Equal(t, len(out), 1, "engine %d", gone)
-		cards[gone].Held = out["new"]
-		after := slices.Min(roomByLayer(m, cards, group{dc: true}, 0))
-		assert.Assert(t, after >= 0.7*before, "engine %d: %f tokens of room, %f before", gone, after, before)
+		placements[gone].Held = out["new"]
+		after := slices.Min(capacityByLayer(m, placements, group{dc: true}, 0))
+		assert.Assert(t, after >= 0.7*before, "engine %d: capacity of %f tokens, %f before", gone, after, before)
 	}
 }
 
-// A fast engine is replaced by another of its kind. Streams that used the row of fast
-// engines pass through slow ones where it stood, which are soon full, for as long as
-// the new one stands elsewhere, say where a slow engine was lost as well. It must close
-// the hole in its row.
-func TestAFastEngineClosesTheHoleInItsRow(t *testing.T) {
+// Guards against a gap in the pipeline of fast engines: a replacement must take over the layers of
+// the fast engine it replaces, also when a slow engine was lost elsewhere.
+func TestFastReplacementClosesPipelineGap(t *testing.T) {
 	m := testModel()
-	for gone, c := range testPool() {
-		if c.Kind != "a100s" {
+	for gone, e := range testPool() {
+		if e.Kind != "a100s" {
 			continue
 		}
 		for slow, other := range testPool() {
 			if other.Kind != "l4" {
 				continue
 			}
-			cards := placed(t, m, testPool())
-			lost := cards[gone].Held
-			cards[gone].ID, cards[gone].Held = "new", pkid.Range{}
-			cards = slices.Delete(cards, slow, slow+1)
-			got := Plan(m, cards, 0)["new"]
+			placements := applyPlan(t, m, testPool())
+			lost := placements[gone].Held
+			placements[gone].ID, placements[gone].Held = "new", pkid.Range{}
+			placements = slices.Delete(placements, slow, slow+1)
+			got := Plan(m, placements, 0)["new"]
 			shared := min(got.End, lost.End) - max(got.First, lost.First)
-			assert.Assert(t, int(shared) >= lost.Len()/2, "%v is lost, %v comes, %v is lost too", lost, got, other.ID)
+			assert.Assert(t, int(shared) >= lost.Len()/2, "lost %v, replacement got %v, also lost %v", lost, got, other.ID)
 		}
 	}
 }
 
-// A pool is just large enough for its model: with the usual room beside their layers its
-// engines do not hold all of them, and no request would find a path. They must hold all, with
-// less room; and when one is lost for good, its neighbors must take its layers.
-func TestASmallPoolHoldsAllLayers(t *testing.T) {
+// Guards against missing layers in a pool that is just large enough: engines must hold all layers
+// at reduced capacity, and neighbors must take over those of a lost engine.
+func TestSmallPoolHoldsAllLayers(t *testing.T) {
 	m := testModel()
 	for n := 8; n <= 12; n++ {
-		pool := placed(t, m, poolOf(map[pkid.DataCenter]map[pkid.Kind]int{"a": {"l4": n/2 + n%2}, "b": {"l4": n / 2}}))
-		assert.Assert(t, rowsOver(m, pool) >= 1, "%d engines", n)
+		pool := applyPlan(t, m, poolOf(map[pkid.DataCenter]map[pkid.Kind]int{"a": {"l4": n/2 + n%2}, "b": {"l4": n / 2}}))
+		assert.Assert(t, minCopies(m, pool) >= 1, "%d engines", n)
 		for gone := range pool {
 			left := slices.Delete(slices.Clone(pool), gone, gone+1)
 			for range 3 {
-				left = placed(t, m, left)
+				left = applyPlan(t, m, left)
 			}
-			// Seven engines of eleven layers at most are not enough for eighty.
-			assert.Assert(t, n == 8 || rowsOver(m, left) >= 1, "%d engines without the one of %v", n, pool[gone].Held)
+			// Seven engines of at most eleven layers cannot hold all eighty.
+			assert.Assert(t, n == 8 || minCopies(m, left) >= 1, "%d engines without the one that held %v", n, pool[gone].Held)
 		}
 	}
 }
 
-// Two engines that hold the same layers are lost for good. Requests that pass
-// through the third and fourth copy fill it up. Plans must take no copy away.
-func TestLostLayersAreHeldAgain(t *testing.T) {
+// Guards against plans that take away a remaining copy after engines with the same layers are lost.
+func TestPlanKeepsRemainingCopies(t *testing.T) {
 	m := testModel()
-	cards := placed(t, m, testPool())
+	placements := applyPlan(t, m, testPool())
 	lost := pkid.Range{First: 40, End: 44}
 	var left []Card
-	for _, c := range cards {
-		if c.Held.First >= lost.End || c.Held.End <= lost.First || c.Kind == "a100s" {
-			left = append(left, c)
+	for _, e := range placements {
+		if e.Held.First >= lost.End || e.Held.End <= lost.First || e.Kind == "a100s" {
+			left = append(left, e)
 		}
 	}
-	before := rowsOver(m, left)
-	left = placed(t, m, left)
-	assert.Assert(t, rowsOver(m, left) >= before)
+	before := minCopies(m, left)
+	left = applyPlan(t, m, left)
+	assert.Assert(t, minCopies(m, left) >= before)
 }
 
 func TestPathRunsEachLayerOnceInOrder(t *testing.T) {
 	m := testModel()
-	cards := placed(t, m, testPool())
-	for gone := range cards {
+	placements := applyPlan(t, m, testPool())
+	for gone := range placements {
 		var engines []Engine
-		for i, c := range cards {
+		for i, e := range placements {
 			if i != gone {
-				engines = append(engines, Engine{ID: c.ID, DataCenter: c.DataCenter, Kind: c.Kind, Held: c.Held, Cost: m.StepTime(c.Kind, 1)})
+				engines = append(engines, Engine{ID: e.ID, DataCenter: e.DataCenter, Kind: e.Kind, Held: e.Held, Cost: m.StepTime(e.Kind, 1)})
 			}
 		}
 		p, found := Find(m.All(), engines, Costs{Hop: 50 * time.Microsecond, Crossing: func(_, _ pkid.DataCenter) time.Duration { return time.Millisecond }}, "b")
@@ -272,25 +266,24 @@
 	}
 }
 
-// Engines of one data centre that hold the same layers leave and none comes. All streams
-// that begin there then leave it for these layers. Plans must move other engines of the data
-// centre there, one at a time, and come to rest.
-func TestPlansMoveEnginesToWeakLayers(t *testing.T) {
+// Guards against streams that leave their data centre for good after its engines with the same
+// layers have left: other engines must move there, one at a time, until no move is needed.
+func TestRebalanceMovesEnginesToScarceLayers(t *testing.T) {
 	m := testModel()
-	cards := placed(t, m, grownPool())
+	placements := applyPlan(t, m, largePool())
 	home := group{"c": true}
 	var left []Card
-	for _, c := range cards {
-		inTheGap := c.Held.First <= 40 && c.Held.End > 40
-		if !inTheGap || !home[c.DataCenter] {
-			left = append(left, c)
+	for _, e := range placements {
+		inGap := e.Held.First <= 40 && e.Held.End > 40
+		if !inGap || !home[e.DataCenter] {
+			left = append(left, e)
 		}
 	}
-	before := slices.Min(roomByLayer(m, left, home, 0))
-	assert.Assert(t, before < urgentShare*m.usualRoom())
+	before := slices.Min(capacityByLayer(m, left, home, 0))
+	assert.Assert(t, before < urgentShare*m.nominalCapacity())
 	moves := 0
 	for ; moves < 20; moves++ {
-		out := Plan(m, left, steadyTime)
+		out := Plan(m, left, rebalanceDelay)
 		if len(out) == 0 {
 			break
 		}
@@ -301,45 +294,44 @@
 			}
 		}
 	}
-	after := slices.Min(roomByLayer(m, left, home, 0))
+	after := slices.Min(capacityByLayer(m, left, home, 0))
 	assert.Assert(t, moves > 0 && moves < 20)
-	assert.Assert(t, after >= moveShare*m.usualRoom(), "%f tokens, %f before", after, before)
+	assert.Assert(t, after >= rebalanceShare*m.nominalCapacity(), "capacity of %f tokens, %f before", after, before)
 }
 
-// The engines of a data centre that hold a layer are taken away at one moment, and none
-// comes in their place. All its streams leave the data centre for that layer until another
-// engine is moved there. That must not wait until the pool is quiet for long; a loss that
-// leaves a copy must, since an engine that crashed comes back by itself.
-func TestAnEngineIsMovedToAHoleSoon(t *testing.T) {
+// Guards against a long wait for a layer that no engine of its data centre holds: an engine must
+// move there after the urgent delay. With one copy left none may move yet, since a crashed engine
+// comes back by itself.
+func TestUncoveredLayerIsRebalancedUrgently(t *testing.T) {
 	m := testModel()
 	for _, row := range []struct {
-		stay  int
-		quiet time.Duration
-		moves bool
+		remain    int
+		stableFor time.Duration
+		moves     bool
 	}{
-		{0, urgentTime / 2, false},
-		{0, urgentTime, true},
-		{1, urgentTime, false},
+		{0, urgentDelay / 2, false},
+		{0, urgentDelay, true},
+		{1, urgentDelay, false},
 	} {
-		cards := placed(t, m, testPool())
-		at := pkid.Layer(15)
+		placements := applyPlan(t, m, testPool())
+		lost := pkid.Layer(15)
 		home := group{"a": true}
-		assert.Assert(t, rowsOver(m, near(cards, home)) >= 1)
-		stayed := 0
-		left := slices.DeleteFunc(cards, func(c Card) bool {
-			if !home[c.DataCenter] || at < c.Held.First || c.Held.End <= at {
+		assert.Assert(t, minCopies(m, inGroup(placements, home)) >= 1)
+		holders := 0
+		left := slices.DeleteFunc(placements, func(e Card) bool {
+			if !home[e.DataCenter] || lost < e.Held.First || e.Held.End <= lost {
 				return false
 			}
-			stayed++
-			return stayed > row.stay
+			holders++
+			return holders > row.remain
 		})
-		assert.Assert(t, stayed >= 2, "the layer has two copies before")
-		assert.Equal(t, len(Plan(m, left, row.quiet)) > 0, row.moves, "%+v", row)
+		assert.Assert(t, holders >= 2, "the layer needs two copies at first")
+		assert.Equal(t, len(Plan(m, left, row.stableFor)) > 0, row.moves, "%+v", row)
 	}
 }
 
-// grownPool is 98 engines in three data centres with thin pipes between them.
-func grownPool() []Card {
+// largePool returns 98 engines in three data centres.
+func largePool() []Card {
 	return poolOf(map[pkid.DataCenter]map[pkid.Kind]int{
 		"a": {"h100": 1, "a100s": 2, "l4": 13, "t4": 18},
 		"b": {"h100": 1, "a100s": 2, "l4": 20, "t4": 9},
@@ -347,78 +339,73 @@
 	})
 }
 
-// The fastest engines stand in three data centres. Where slow ones do not run all layers in
-// each of them, half of all prompts go through thin pipes, and callers see pauses of seconds
-// though no engine is busy.
-func TestEachDataCenterRunsAllLayersByItself(t *testing.T) {
+// Guards against prompts crossing slow links because the engines of a data centre do not hold all
+// layers.
+func TestDataCentersAreSelfContained(t *testing.T) {
 	for _, mbps := range []float64{3920, 11000} {
 		m := testModel()
 		m.PipeMbps = mbps
-		cards := placed(t, m, grownPool())
-		for _, g := range dataCenters(cards) {
-			assert.Assert(t, rowsOver(m, near(cards, g)) >= 2, "%v", g)
+		placements := applyPlan(t, m, largePool())
+		for _, g := range dataCenterGroups(placements) {
+			assert.Assert(t, minCopies(m, inGroup(placements, g)) >= 2, "%v", g)
 		}
 	}
 }
 
-// Data centres with few engines do not hold the model. Their engines must fill up one
-// another's rows rather than hold the same layers each.
-func TestSmallDataCentersShareTheirRows(t *testing.T) {
+// Guards against small data centres that hold the same layers: together they must hold all.
+func TestSmallDataCentersShareCopies(t *testing.T) {
 	m := testModel()
-	cards := placed(t, m, poolOf(map[pkid.DataCenter]map[pkid.Kind]int{
+	placements := applyPlan(t, m, poolOf(map[pkid.DataCenter]map[pkid.Kind]int{
 		"a": {"l4": 5}, "b": {"l4": 5}, "c": {"l4": 30}, "d": {"t4": 4},
 	}))
-	assert.Assert(t, rowsOver(m, near(cards, group{"a": true, "b": true, "d": true})) >= 1)
-	assert.Assert(t, rowsOver(m, near(cards, group{"c": true})) >= 2)
+	assert.Assert(t, minCopies(m, inGroup(placements, group{"a": true, "b": true, "d": true})) >= 1)
+	assert.Assert(t, minCopies(m, inGroup(placements, group{"c": true})) >= 2)
 }
 
-// A pool without rows across data centres has some fast engines in each. Shared out over
-// its rows, they wait for the slow ones of the same row, every answer holds memory for as
-// long as a slow one, and the pool fills up at a third of the load.
-func TestFastEnginesShareARow(t *testing.T) {
+// Guards against fast engines spread over pipelines of slow ones, where each request holds memory
+// for as long as the slow stages take: the fast engines must form a pipeline.
+func TestFastEnginesFormPipeline(t *testing.T) {
 	m := testModel()
 	m.PipeMbps = 3920
-	cards := placed(t, m, grownPool())
+	placements := applyPlan(t, m, largePool())
 	var near []Engine
-	for _, c := range cards {
-		if c.DataCenter == "a" {
-			near = append(near, Engine{ID: c.ID, DataCenter: "a", Kind: c.Kind, Held: c.Held, Cost: m.StepTime(c.Kind, 1)})
+	for _, e := range placements {
+		if e.DataCenter == "a" {
+			near = append(near, Engine{ID: e.ID, DataCenter: "a", Kind: e.Kind, Held: e.Held, Cost: m.StepTime(e.Kind, 1)})
 		}
 	}
 	p, found := Find(m.All(), near, Costs{Hop: 100 * time.Microsecond}, "a")
 	assert.Assert(t, found)
 	slow := m.StepTime("l4", m.Layers)
-	assert.Assert(t, p.Cost < slow*6/10, "%v a token, %v over slow engines alone", p.Cost, slow)
+	assert.Assert(t, p.Cost < slow*6/10, "%v per token, %v over slow engines alone", p.Cost, slow)
 }
 
-// A pool's fast engines stand in all data centres, in some of them enough for a row. Spread
-// over the data centres, each stream that uses them goes through pipes though its home has room,
-// and where 195 entries choose at once prompts stand in line there for a second. Fast engines
-// of one data centre must complete one another's row first.
-func TestFastEnginesOfADataCenterMakeTheirOwnRow(t *testing.T) {
+// Guards against pipelines of fast engines that cross data centres though the engines of one data
+// centre are enough for a pipeline of their own.
+func TestFastEnginesFormPipelineWithinDataCenter(t *testing.T) {
 	m := testModel()
 	m.TokenBytes, m.PipeMbps, m.EngineTokens = 426000, 6300, 100_000
-	cards := placed(t, m, poolOf(map[pkid.DataCenter]map[pkid.Kind]int{
+	placements := applyPlan(t, m, poolOf(map[pkid.DataCenter]map[pkid.Kind]int{
 		"a": {"h100": 1, "a100s": 2, "l4": 17, "t4": 25},
 		"b": {"h100": 1, "a100s": 4, "l4": 25, "t4": 12},
 		"c": {"a100s": 6, "l4": 14, "t4": 24},
 		"d": {"h100": 1, "a100s": 4, "l4": 25, "t4": 12},
 	}))
-	for _, g := range dataCenters(cards) {
+	for _, g := range dataCenterGroups(placements) {
 		held, missing := 0, 0
-		kinds := m.fastKinds(cards)
-		for _, c := range near(cards, g) {
-			if kinds[c.Kind] {
-				held += c.Held.Len()
+		kinds := m.fastKinds(placements)
+		for _, e := range inGroup(placements, g) {
+			if kinds[e.Kind] {
+				held += e.Held.Len()
 			}
 		}
-		fast := slices.DeleteFunc(near(cards, g), func(c Card) bool { return !kinds[c.Kind] })
-		for _, tokens := range roomByLayer(m, fast, g, 0) {
+		fast := slices.DeleteFunc(inGroup(placements, g), func(e Card) bool { return !kinds[e.Kind] })
+		for _, tokens := range capacityByLayer(m, fast, g, 0) {
 			if tokens == 0 {
 				missing++
 			}
 		}
-		// What is left out costs one more engine on the path.
-		assert.Assert(t, missing <= max(m.Layers-held, 0)+2, "%v: %d layers that its fast engines leave out", g, missing)
+		// Each uncovered layer costs one more engine on the path.
+		assert.Assert(t, missing <= max(m.Layers-held, 0)+2, "%v: fast engines leave out %d layers", g, missing)
 	}
 }
--- a/pklayers/pool.go
+++ b/pklayers/pool.go
@@ -6,144 +6,142 @@
 	"peridotknot.example/pkid"
 )
 
-// rooms is how many tokens of requests fit at each layer. Whole tokens, so that an engine that is
-// taken away leaves exactly what was there before it.
-type rooms []int64
+// layerCapacity is the KV-cache capacity at each layer, in tokens. Integers keep it exact when an
+// engine is added and removed again.
+type layerCapacity []int64
 
-// pool is the engines of a plan with the room at each layer, kept up to date as engines are given
-// layers and lose them: adding it up anew for each engine made the plan of a pool of thousands
-// take longer than its owner had the pool.
+// pool is the engines of a plan with the capacity at each layer. The sums are updated
+// incrementally: computed anew for each engine, planning would be quadratic in the size of the
+// pool.
 type pool struct {
-	m      *Model
-	cards  []Card
-	groups []group
-	// groupOf is the group of each card, near the room by group and all that of the pool.
+	m       *Model
+	engines []Card
+	groups  []group
+	// groupOf is the group of each engine, byGroup the capacity of each group, total that of the
+	// pool.
 	groupOf []int
-	near    []rooms
-	all     rooms
-	// fast are the kinds that are about as fast as the fastest where others are not; nearFast and
-	// allFast are the room at their engines.
-	fast     map[pkid.Kind]bool
-	nearFast []rooms
-	allFast  rooms
-	// usual is how many layers each kind holds with the usual room.
-	usual map[pkid.Kind]int
-	// laid is the least room by group of a new layout of the same engines, once asked for.
-	laid []int64
-	// scratch is what weakest works on.
-	scratch []float64
+	byGroup []layerCapacity
+	total   layerCapacity
+	// fastKinds are the kinds close to the fastest in speed, if there are slower ones; fastByGroup
+	// and fastTotal are the capacity of their engines.
+	fastKinds   map[pkid.Kind]bool
+	fastByGroup []layerCapacity
+	fastTotal   layerCapacity
+	// nominal caches nominalLayers by kind.
+	nominal map[pkid.Kind]int
+	// freshMin caches freshMinCapacity.
+	freshMin []int64
+	// shortages is the scratch buffer of scarcestRange.
+	shortages []float64
 }
 
-// newPool counts what the cards hold. Plans change the cards.
-func newPool(m *Model, cards []Card) *pool {
-	p := &pool{m: m, cards: cards, groups: groups(m, cards), fast: m.fastKinds(cards), usual: map[pkid.Kind]int{}}
-	p.all, p.allFast = make(rooms, m.Layers), make(rooms, m.Layers)
+// newPool sums up the capacity of the engines. Planning modifies the slice.
+func newPool(m *Model, engines []Card) *pool {
+	p := &pool{m: m, engines: engines, groups: groups(m, engines), fastKinds: m.fastKinds(engines), nominal: map[pkid.Kind]int{}}
+	p.total, p.fastTotal = make(layerCapacity, m.Layers), make(layerCapacity, m.Layers)
 	for range p.groups {
-		p.near = append(p.near, make(rooms, m.Layers))
-		p.nearFast = append(p.nearFast, make(rooms, m.Layers))
+		p.byGroup = append(p.byGroup, make(layerCapacity, m.Layers))
+		p.fastByGroup = append(p.fastByGroup, make(layerCapacity, m.Layers))
 	}
-	byDataCenter := map[pkid.DataCenter]int{}
-	for at, g := range p.groups {
+	groupOf := map[pkid.DataCenter]int{}
+	for index, g := range p.groups {
 		for dc := range g {
-			byDataCenter[dc] = at
+			groupOf[dc] = index
 		}
 	}
-	p.groupOf = make([]int, len(cards))
-	for i := range cards {
-		p.groupOf[i] = byDataCenter[cards[i].DataCenter]
-		p.count(i, 1)
+	p.groupOf = make([]int, len(engines))
+	for i := range engines {
+		p.groupOf[i] = groupOf[engines[i].DataCenter]
+		p.addCapacity(i, 1)
 	}
 	return p
 }
 
-// place gives a card other layers.
-func (p *pool) place(i int, r pkid.Range) {
-	p.count(i, -1)
-	p.cards[i].Held = r
-	p.count(i, 1)
+// assign gives an engine another range of layers.
+func (p *pool) assign(i int, r pkid.Range) {
+	p.addCapacity(i, -1)
+	p.engines[i].Held = r
+	p.addCapacity(i, 1)
 }
 
-// count adds the room of a card so many times.
-func (p *pool) count(i int, times int64) {
-	c := &p.cards[i]
-	tokens := times * int64(max(p.m.Room(c.Kind, c.Held.Len()), 0))
-	p.all.add(c.Held, tokens)
-	p.near[p.groupOf[i]].add(c.Held, tokens)
-	if p.fast[c.Kind] {
-		p.allFast.add(c.Held, tokens)
-		p.nearFast[p.groupOf[i]].add(c.Held, tokens)
+// addCapacity adds the capacity of an engine to the sums, or subtracts it if sign is -1.
+func (p *pool) addCapacity(i int, sign int64) {
+	e := &p.engines[i]
+	tokens := sign * int64(max(p.m.Room(e.Kind, e.Held.Len()), 0))
+	p.total.add(e.Held, tokens)
+	p.byGroup[p.groupOf[i]].add(e.Held, tokens)
+	if p.fastKinds[e.Kind] {
+		p.fastTotal.add(e.Held, tokens)
+		p.fastByGroup[p.groupOf[i]].add(e.Held, tokens)
 	}
 }
 
-func (r rooms) add(held pkid.Range, tokens int64) {
-	for l := held.First; l < held.End && int(l) < len(r); l++ {
-		r[l] += tokens
+func (c layerCapacity) add(held pkid.Range, tokens int64) {
+	for l := held.First; l < held.End && int(l) < len(c); l++ {
+		c[l] += tokens
 	}
 }
 
-// missing says whether some layer is held by no engine, so that nobody is served.
-func (p *pool) missing() bool { return slices.Min(p.all) == 0 }
+// hasGap reports whether some layer is held by no engine, so that no request can be served.
+func (p *pool) hasGap() bool { return slices.Min(p.total) == 0 }
 
-// usualLayers returns how many layers a kind holds with the usual room.
-func (p *pool) usualLayers(k pkid.Kind) int {
-	n, known := p.usual[k]
+func (p *pool) nominalLayers(k pkid.Kind) int {
+	n, known := p.nominal[k]
 	if !known {
-		n = p.m.usualLayers(k)
-		p.usual[k] = n
+		n = p.m.nominalLayers(k)
+		p.nominal[k] = n
 	}
 	return n
 }
 
-// whole says whether a group has about the room that a new layout of the same engines would
-// give it at every layer.
-func (p *pool) whole(g int) bool {
-	if p.laid == nil {
-		p.laid = p.leastLaid()
+// atFullCapacity reports whether each layer of a group has about the capacity that a new layout of
+// the same engines would give it.
+func (p *pool) atFullCapacity(g int) bool {
+	if p.freshMin == nil {
+		p.freshMin = p.freshMinCapacity()
 	}
-	return float64(slices.Min(p.near[g])) >= wholeShare*float64(p.laid[g])
+	return float64(slices.Min(p.byGroup[g])) >= fullCapacityShare*float64(p.freshMin[g])
 }
 
-// leastLaid returns the least room by group of a new layout.
-func (p *pool) leastLaid() []int64 {
-	fresh := slices.Clone(p.cards)
-	laid := layOut(p.m, fresh)
+// freshMinCapacity returns the least capacity of any layer in a new layout, by group.
+func (p *pool) freshMinCapacity() []int64 {
+	fresh := slices.Clone(p.engines)
+	layout := layOut(p.m, fresh)
 	for i := range fresh {
-		fresh[i].Held = laid[fresh[i].ID]
+		fresh[i].Held = layout[fresh[i].ID]
 	}
 	out := make([]int64, len(p.groups))
-	for g, room := range newPool(p.m, fresh).near {
-		out[g] = slices.Min(room)
+	for g, capacity := range newPool(p.m, fresh).byGroup {
+		out[g] = slices.Min(capacity)
 	}
 	return out
 }
 
-// weakest returns the n layers in a row that have the least room for an engine of a group.
+// scarcestRange returns the n consecutive layers with the least capacity for an engine of a group.
 //
-// Those of the fastest engines look at one another alone: they complete one another's rows, of
-// their own group first and then over all data centres, and the row of each group goes around
-// them. A fast engine that came after another was lost would else stand beside the slow ones
-// with the least room, and the row of fast engines would keep its hole for good. Completed over
-// all data centres alike, rows of a pool whose data centres hold one each led streams through
-// the pipes for nothing.
-func (p *pool) weakest(g int, k pkid.Kind, n int) pkid.Range {
-	if p.scratch == nil {
-		p.scratch = make([]float64, p.m.Layers)
-	}
-	lack := p.scratch
-	for l := range lack {
-		room := seen(p.near[g][l], p.all[l])
-		if p.fast[k] {
-			room = seen(p.nearFast[g][l], p.allFast[l]) + slowShare*room
+// Fast engines are placed by the capacity of fast engines, first within their group and then over
+// all data centres, so that they form pipelines of their own and a replacement closes the gap of
+// the one it replaces rather than reinforcing slow engines. Capacity outside the group weighs less,
+// so that streams do not cross links needlessly.
+func (p *pool) scarcestRange(g int, k pkid.Kind, n int) pkid.Range {
+	if p.shortages == nil {
+		p.shortages = make([]float64, p.m.Layers)
+	}
+	shortage := p.shortages
+	for l := range shortage {
+		capacity := weightedCapacity(p.byGroup[g][l], p.total[l])
+		if p.fastKinds[k] {
+			capacity = weightedCapacity(p.fastByGroup[g][l], p.fastTotal[l]) + slowWeight*capacity
 		}
-		lack[l] = 1 / (room + 1)
+		shortage[l] = 1 / (capacity + 1)
 	}
 	sum := 0.0
 	for l := range n {
-		sum += lack[l]
+		sum += shortage[l]
 	}
 	best, first := sum, 0
 	for l := n; l < p.m.Layers; l++ {
-		sum += lack[l] - lack[l-n]
+		sum += shortage[l] - shortage[l-n]
 		if sum > best*(1+1e-9) {
 			best, first = sum, l-n+1
 		}
@@ -151,26 +149,27 @@
 	return pkid.Range{First: pkid.Layer(first), End: pkid.Layer(first + n)}
 }
 
-// seen returns the room at a layer as a group sees it, where that of other groups counts for a
-// share.
-func seen(near, all int64) float64 { return float64(near) + farShare*float64(all-near) }
+// weightedCapacity returns the capacity at a layer for an engine of a group, with that of other
+// groups weighted by remoteWeight.
+func weightedCapacity(inGroup, total int64) float64 {
+	return float64(inGroup) + remoteWeight*float64(total-inGroup)
+}
 
-// fastKinds returns the kinds that are about as fast as the fastest of some engines, where others
-// are not.
-func (m *Model) fastKinds(cards []Card) map[pkid.Kind]bool {
-	if len(cards) == 0 {
+// fastKinds returns the kinds within fastRatio of the fastest engine; none if all engines are.
+func (m *Model) fastKinds(engines []Card) map[pkid.Kind]bool {
+	if len(engines) == 0 {
 		return nil
 	}
 	kinds := map[pkid.Kind]bool{}
-	least := m.Kinds[cards[0].Kind].StepFactor
-	most := least
-	for i := range cards {
-		f := m.Kinds[cards[i].Kind].StepFactor
-		least, most = min(least, f), max(most, f)
-		kinds[cards[i].Kind] = true
+	fastest := m.Kinds[engines[0].Kind].StepFactor
+	slowest := fastest
+	for i := range engines {
+		factor := m.Kinds[engines[i].Kind].StepFactor
+		fastest, slowest = min(fastest, factor), max(slowest, factor)
+		kinds[engines[i].Kind] = true
 	}
 	for k := range kinds {
-		kinds[k] = k != "" && m.Kinds[k].StepFactor <= fastWithin*least && most > fastWithin*least
+		kinds[k] = k != "" && m.Kinds[k].StepFactor <= fastRatio*fastest && slowest > fastRatio*fastest
 	}
 	return kinds
 }
--- a/pklayers/search.go
+++ b/pklayers/search.go
@@ -8,120 +8,123 @@
 	"peridotknot.example/pkid"
 )
 
-// step is the cheapest way to stand in an engine at a cut.
-type step struct {
+// state is the cheapest way to reach an engine at a segment.
+type state struct {
 	engine int32
-	from   int32 // the engine at the cut before, or -1
-	parts  int32
+	prev   int32 // the engine at the previous segment, or -1
+	stages int32
 	cost   time.Duration
 }
 
-// search is one search for a path. It looks at each engine only in the runs of layers that it
-// holds, so that its work grows with the layers that the engines of a pool hold together.
+// search is one search for a path by dynamic programming over segments of layers. It visits each
+// engine only in the segments that it holds, so the work grows with the number of layers held by
+// all engines together.
 type search struct {
 	engines []Engine
 	costs   Costs
 	home    pkid.DataCenter
-	// cuts are where ranges begin or end; run i lies between the cuts i and i+1.
-	cuts []pkid.Layer
-	// holders are the engines of each run, table the steps into them, in the same order.
+	// boundaries are where ranges begin or end; segment i lies between the boundaries i and i+1.
+	boundaries []pkid.Layer
+	// holders are the engines of each segment, table the states of those that can be reached, in
+	// the same order.
 	holders [][]int32
-	table   [][]step
-	// last is the step into each engine at the newest run, if it holds the run before.
-	last []step
-	// centers is the data centre of each engine as a number, names their names.
-	centers []int
-	names   []pkid.DataCenter
-	// crossings are costs between data centres that have been asked for; negative otherwise.
+	table   [][]state
+	// previous is the state of each engine at the previous segment; it has no stages if there is
+	// none.
+	previous []state
+	// dataCenterOf is the data centre of each engine as an index into dataCenters.
+	dataCenterOf []int
+	dataCenters  []pkid.DataCenter
+	// crossings caches the costs between data centres; negative if not yet computed.
 	crossings []time.Duration
-	// returned says that a way which came back to an engine that it had left costs too much without
-	// that.
-	returned bool
+	// revisited says that a path which revisits an engine exceeds the highest accepted cost once
+	// the engine keeps the layers in between.
+	revisited bool
 }
 
-// newSearch prepares a search; nil where no engine holds a part of the span.
+// newSearch prepares a search; it returns nil if the span is empty.
 func newSearch(span pkid.Range, engines []Engine, c Costs, home pkid.DataCenter) *search {
-	s := &search{engines: engines, costs: c, home: home, cuts: cutsOf(span, engines)}
-	if len(s.cuts) < 2 {
+	s := &search{engines: engines, costs: c, home: home, boundaries: boundariesOf(span, engines)}
+	if len(s.boundaries) < 2 {
 		return nil
 	}
-	s.holders = make([][]int32, len(s.cuts)-1)
-	s.table = make([][]step, len(s.cuts)-1)
-	s.last = make([]step, len(engines))
-	s.centers = make([]int, len(engines))
+	s.holders = make([][]int32, len(s.boundaries)-1)
+	s.table = make([][]state, len(s.boundaries)-1)
+	s.previous = make([]state, len(engines))
+	s.dataCenterOf = make([]int, len(engines))
 	for e := range engines {
-		s.centers[e] = s.center(engines[e].DataCenter)
+		s.dataCenterOf[e] = s.dataCenterIndex(engines[e].DataCenter)
 	}
-	s.hold(span)
-	s.crossings = make([]time.Duration, len(s.names)*len(s.names))
+	s.indexHolders(span)
+	s.crossings = make([]time.Duration, len(s.dataCenters)*len(s.dataCenters))
 	for i := range s.crossings {
 		s.crossings[i] = -1
 	}
 	return s
 }
 
-func cutsOf(span pkid.Range, engines []Engine) []pkid.Layer {
+func boundariesOf(span pkid.Range, engines []Engine) []pkid.Layer {
 	if span.Len() <= 0 {
 		return nil
 	}
-	is := make([]bool, span.Len()+1)
-	is[0], is[span.Len()] = true, true
+	isBoundary := make([]bool, span.Len()+1)
+	isBoundary[0], isBoundary[span.Len()] = true, true
 	for i := range engines {
 		for _, l := range [...]pkid.Layer{engines[i].Held.First, engines[i].Held.End} {
 			if span.First < l && l < span.End {
-				is[l-span.First] = true
+				isBoundary[l-span.First] = true
 			}
 		}
 	}
-	cuts := make([]pkid.Layer, 0, len(is))
-	for i, cut := range is {
-		if cut {
-			cuts = append(cuts, span.First+pkid.Layer(i))
+	out := make([]pkid.Layer, 0, len(isBoundary))
+	for i, boundary := range isBoundary {
+		if boundary {
+			out = append(out, span.First+pkid.Layer(i))
 		}
 	}
-	return cuts
+	return out
 }
 
-// center returns the number of a data centre; there are few.
-func (s *search) center(dc pkid.DataCenter) int {
-	at := slices.Index(s.names, dc)
-	if at < 0 {
-		at = len(s.names)
-		s.names = append(s.names, dc)
+// dataCenterIndex returns the index of a data centre and adds it if it is new.
+func (s *search) dataCenterIndex(dc pkid.DataCenter) int {
+	index := slices.Index(s.dataCenters, dc)
+	if index < 0 {
+		index = len(s.dataCenters)
+		s.dataCenters = append(s.dataCenters, dc)
 	}
-	return at
+	return index
 }
 
-// hold notes which engines hold each run.
-func (s *search) hold(span pkid.Range) {
-	runOf := make([]int32, span.Len()+1) // the first run that begins at a layer or after it
-	for i, run := len(runOf)-1, len(s.cuts)-1; i >= 0; i-- {
-		if run > 0 && s.cuts[run-1] >= span.First+pkid.Layer(i) {
-			run--
+// indexHolders records which engines hold each segment.
+func (s *search) indexHolders(span pkid.Range) {
+	segmentAt := make([]int32, span.Len()+1) // the first segment that begins at a layer or after it
+	for i, segment := len(segmentAt)-1, len(s.boundaries)-1; i >= 0; i-- {
+		if segment > 0 && s.boundaries[segment-1] >= span.First+pkid.Layer(i) {
+			segment--
 		}
-		runOf[i] = int32(run)
+		segmentAt[i] = int32(segment)
 	}
-	runs := func(e int) (from, to int32) {
+	segmentsOf := func(e int) (from, to int32) {
 		held := s.engines[e].Held
-		from, to = runOf[min(max(held.First, span.First), span.End)-span.First], 0
+		from, to = segmentAt[min(max(held.First, span.First), span.End)-span.First], 0
 		if held.End > span.First {
-			to = runOf[min(held.End, span.End)-span.First]
+			to = segmentAt[min(held.End, span.End)-span.First]
 		}
 		return from, max(from, to)
 	}
 	counts := make([]int, len(s.holders)+1)
 	for e := range s.engines {
-		for from, to := runs(e); from < to; from++ {
+		for from, to := segmentsOf(e); from < to; from++ {
 			counts[from]++
 		}
 	}
-	all, steps := make([]int32, sum(counts)), make([]step, sum(counts))
+	all, states := make([]int32, sum(counts)), make([]state, sum(counts))
 	for i := range s.holders {
 		s.holders[i], all = all[:0:counts[i]], all[counts[i]:]
-		s.table[i], steps = steps[:0:counts[i]], steps[counts[i]:]
+		s.table[i], states = states[:0:counts[i]], states[counts[i]:]
 	}
 	for e := range s.engines {
-		for from, to := runs(e); from < to; from++ {
+		for from, to := segmentsOf(e); from < to; from++ {
 			s.holders[from] = append(s.holders[from], int32(e))
 		}
 	}
@@ -129,78 +132,78 @@
 
 func sum(counts []int) int {
 	n := 0
-	for _, one := range counts {
-		n += one
+	for _, count := range counts {
+		n += count
 	}
 	return n
 }
 
-// run finds the cheapest step into each engine, run by run.
-func (s *search) run() {
-	var best []step
+// solve computes the cheapest state of each engine, segment by segment.
+func (s *search) solve() {
+	var best []state
 	for i := range s.table {
 		if i > 0 {
-			best = s.bestOf(s.table[i-1])
+			best = s.cheapestByDataCenter(s.table[i-1])
 		}
 		for _, e := range s.holders[i] {
-			if one, found := s.into(e, i, best); found {
-				s.table[i] = append(s.table[i], one)
+			if st, found := s.cheapestInto(e, i, best); found {
+				s.table[i] = append(s.table[i], st)
 			}
 		}
-		s.settle(i)
+		s.advance(i)
 	}
 }
 
-// settle keeps the steps of a run for the next.
-func (s *search) settle(i int) {
+// advance makes the states of a segment the previous ones of the next.
+func (s *search) advance(i int) {
 	for _, e := range s.holders[i] {
-		s.last[e].parts = 0
+		s.previous[e].stages = 0
 	}
-	for _, one := range s.table[i] {
-		s.last[one.engine] = one
+	for _, st := range s.table[i] {
+		s.previous[st.engine] = st
 	}
 }
 
-// into returns the cheapest step into an engine at a run, where best are those of the run before
-// by data centre.
-func (s *search) into(e int32, i int, best []step) (step, bool) {
-	one := &s.engines[e]
-	work := time.Duration(s.cuts[i+1]-s.cuts[i]) * one.Cost
+// cheapestInto returns the cheapest state of an engine at a segment, where best are the cheapest
+// states of the previous segment by data centre.
+func (s *search) cheapestInto(e int32, i int, best []state) (state, bool) {
+	engine := &s.engines[e]
+	work := time.Duration(s.boundaries[i+1]-s.boundaries[i]) * engine.Cost
 	if i == 0 {
-		return step{engine: e, from: -1, parts: 1, cost: one.Enter + work + s.costs.reach(s.home, one.DataCenter)}, true
+		return state{engine: e, prev: -1, stages: 1, cost: engine.Enter + work + s.costs.reach(s.home, engine.DataCenter)}, true
 	}
-	var out step
-	if before := s.last[e]; before.parts > 0 && one.Held.First <= s.cuts[i-1] {
-		out = step{engine: e, from: e, parts: before.parts, cost: before.cost + work}
+	var out state
+	if stay := s.previous[e]; stay.stages > 0 && engine.Held.First <= s.boundaries[i-1] {
+		out = state{engine: e, prev: e, stages: stay.stages, cost: stay.cost + work}
 	}
 	for dc := range best {
 		b := &best[dc]
-		if b.parts == 0 || b.parts >= maxParts || b.engine == e {
+		if b.stages == 0 || b.stages >= maxStages || b.engine == e {
 			continue
 		}
-		cost := b.cost + one.Enter + work + s.costs.Hop + s.crossing(dc, s.centers[e])
-		if out.parts == 0 || cost < out.cost {
-			out = step{engine: e, from: b.engine, parts: b.parts + 1, cost: cost}
+		cost := b.cost + engine.Enter + work + s.costs.Hop + s.crossing(dc, s.dataCenterOf[e])
+		if out.stages == 0 || cost < out.cost {
+			out = state{engine: e, prev: b.engine, stages: b.stages + 1, cost: cost}
 		}
 	}
-	return out, out.parts > 0
+	return out, out.stages > 0
 }
 
-// bestOf returns the cheapest step of a run by data centre; one without parts is none.
-func (s *search) bestOf(steps []step) []step {
-	best := make([]step, len(s.names))
-	for _, one := range steps {
-		if old := &best[s.centers[one.engine]]; old.parts == 0 || one.cost < old.cost {
-			*old = one
+// cheapestByDataCenter returns the cheapest state by data centre; one without stages means none.
+func (s *search) cheapestByDataCenter(states []state) []state {
+	best := make([]state, len(s.dataCenters))
+	for _, st := range states {
+		if current := &best[s.dataCenterOf[st.engine]]; current.stages == 0 || st.cost < current.cost {
+			*current = st
 		}
 	}
 	return best
 }
 
 func (s *search) crossing(from, to int) time.Duration {
-	known := &s.crossings[from*len(s.names)+to]
+	known := &s.crossings[from*len(s.dataCenters)+to]
 	if *known < 0 {
-		*known = crossing(s.costs, s.names[from], s.names[to])
+		*known = crossing(s.costs, s.dataCenters[from], s.dataCenters[to])
 	}
 	return *known
 }
@@ -212,10 +215,10 @@
 	return c.Crossing(from, to)
 }
 
-// cheapest walks back from the cheapest ends.
-func (s *search) cheapest() (Path, bool) {
+// cheapestPath backtracks from the final states in order of cost.
+func (s *search) cheapestPath() (Path, bool) {
 	ends := slices.Clone(s.table[len(s.table)-1])
-	slices.SortStableFunc(ends, func(a, b step) int { return cmp.Compare(a.cost, b.cost) })
+	slices.SortStableFunc(ends, func(a, b state) int { return cmp.Compare(a.cost, b.cost) })
 	var best Path
 	for _, end := range ends {
 		if s.costs.Most > 0 && end.cost > s.costs.Most {
@@ -224,9 +227,9 @@
 		if len(best.Parts) > 0 && end.cost >= best.Cost {
 			break
 		}
-		p := s.walk(end)
+		p := s.backtrack(end)
 		if s.costs.Most > 0 && p.Cost > s.costs.Most {
-			s.returned = true
+			s.revisited = true
 			continue
 		}
 		if len(best.Parts) == 0 || p.Cost < best.Cost {
@@ -236,47 +239,48 @@
 	return best, len(best.Parts) > 0
 }
 
-// walk returns the path to an end. Engines refuse a path that leaves one and comes back to it; such
-// an engine holds all layers between, and keeps them.
-func (s *search) walk(end step) Path {
+// backtrack returns the path to a final state. Engines refuse a path that revisits one; such an
+// engine holds all layers in between and keeps them.
+func (s *search) backtrack(end state) Path {
 	var parts []Part
-	var seen []int32
-	returned := false
-	at := end.engine
+	var visited []int32
+	revisited := false
+	e := end.engine
 	for i := len(s.table) - 1; i >= 0; i-- {
-		if k := slices.Index(seen, at); k >= 0 {
-			returned = returned || k < len(seen)-1
-			parts, seen = parts[:k+1], seen[:k+1]
-			parts[k].Layers.First = s.cuts[i]
+		if k := slices.Index(visited, e); k >= 0 {
+			revisited = revisited || k < len(visited)-1
+			parts, visited = parts[:k+1], visited[:k+1]
+			parts[k].Layers.First = s.boundaries[i]
 		} else {
-			seen = append(seen, at)
-			parts = append(parts, Part{ID: s.engines[at].ID, Layers: pkid.Range{First: s.cuts[i], End: s.cuts[i+1]}})
+			visited = append(visited, e)
+			parts = append(parts, Part{ID: s.engines[e].ID, Layers: pkid.Range{First: s.boundaries[i], End: s.boundaries[i+1]}})
 		}
-		at = s.before(i, at)
+		e = s.predecessor(i, e)
 	}
 	slices.Reverse(parts)
-	if !returned {
+	if !revisited {
 		return Path{Parts: parts, Cost: end.cost}
 	}
-	slices.Reverse(seen)
-	return Path{Parts: parts, Cost: s.cost(parts, seen)}
+	slices.Reverse(visited)
+	return Path{Parts: parts, Cost: s.cost(parts, visited)}
 }
 
-// cost returns what a token takes over parts, each at an engine.
+// cost returns the time of a token over the parts, each at the engine of the same index.
 func (s *search) cost(parts []Part, engines []int32) time.Duration {
 	sum := s.costs.reach(s.home, s.engines[engines[0]].DataCenter)
 	for i, e := range engines {
-		one := &s.engines[e]
-		sum += one.Enter + time.Duration(parts[i].Layers.Len())*one.Cost
+		engine := &s.engines[e]
+		sum += engine.Enter + time.Duration(parts[i].Layers.Len())*engine.Cost
 		if i > 0 {
-			sum += s.costs.Hop + s.crossing(s.centers[engines[i-1]], s.centers[e])
+			sum += s.costs.Hop + s.crossing(s.dataCenterOf[engines[i-1]], s.dataCenterOf[e])
 		}
 	}
 	return sum
 }
 
-// before returns the engine from which the cheapest step leads into an engine at a run.
-func (s *search) before(i int, e int32) int32 {
-	at, _ := slices.BinarySearchFunc(s.table[i], e, func(one step, e int32) int { return cmp.Compare(one.engine, e) })
-	return s.table[i][at].from
+// predecessor returns the engine that the cheapest state of an engine at a segment was reached
+// from.
+func (s *search) predecessor(i int, e int32) int32 {
+	index, _ := slices.BinarySearchFunc(s.table[i], e, func(st state, e int32) int { return cmp.Compare(st.engine, e) })
+	return s.table[i][index].prev
 }
