--- a/pkroute/chain.go
+++ b/pkroute/chain.go
@@ -10,10 +10,10 @@
 	"peridotknot.example/pktarget"
 )
 
-// Chain is the targets of a request in the order of their layers.
+// Chain is the targets that a request passes through, in the order of their layers.
 type Chain struct {
 	Stages []*pktarget.Target
-	// Step is the time that a token is expected to take through the chain.
+	// Step is the expected time of a token through the chain.
 	Step time.Duration
 }
 
@@ -21,141 +21,139 @@
 var ErrNoChain = errors.New("no usable targets cover every layer")
 
 const (
-	// drawn is how many targets are drawn for each range.
-	drawn = 3
-	// extraDraws is how many unusable ones may be drawn besides, before the
-	// range is searched from a random place.
-	extraDraws = 6
-	// queueSteps is how many steps a place in an engine's queue costs: a
-	// sequence that queues waits for another to end, not for one step.
+	// sampleSize is how many targets are sampled for each range.
+	sampleSize = 3
+	// extraSamples is how many unusable or repeated samples are tolerated before the range is
+	// scanned from a random position.
+	extraSamples = 6
+	// queueSteps is the cost of a place in an engine's queue, in steps: a queued sequence waits for
+	// another to end, not for a single step.
 	queueSteps = 12
 )
 
-// Ask is one choice of a chain.
+// Ask holds the options of one choice.
 type Ask struct {
 	Now  time.Time
 	From pkid.DataCenter
-	// Avoid are targets that failed this request already.
+	// Avoid are targets that have already failed this request.
 	Avoid []pkid.TargetID
 	Links Links
 	Rand  *rand.Rand
-	// Ejected lets targets in that failed lately: the floor under ejection, for
-	// when there is nothing else.
+	// Ejected also allows targets that failed recently, for when no others are left.
 	Ejected bool
-	// Policy is how targets are chosen; the zero value is by cost.
+	// Policy selects among the targets of a range; the zero value is ByCost.
 	Policy Policy
 }
 
-func (a *Ask) usable(t *pktarget.Target) bool {
-	if a.Ejected && t.Leaving() || !a.Ejected && !t.Usable(a.Now) {
+func (o *Ask) usable(t *pktarget.Target) bool {
+	if o.Ejected && t.Leaving() || !o.Ejected && !t.Usable(o.Now) {
 		return false
 	}
-	return len(a.Avoid) == 0 || !slices.Contains(a.Avoid, t.Info.ID)
+	return len(o.Avoid) == 0 || !slices.Contains(o.Avoid, t.Info.ID)
 }
 
-// node is a drawn target with the cheapest path that leads to it.
+// node is a sampled target with the cheapest path to it.
 type node struct {
 	target *pktarget.Target
 	layers pkid.Range
 	cost   time.Duration
-	before int
+	prev   int
 }
 
-const nobody = -1
+const noNode = -1
 
-// Choose returns the cheapest chain among drawn targets.
-func (p *Plan) Choose(a Ask) (Chain, error) {
-	var room [48]node
-	nodes := room[:0]
-	best := nobody
+// Choose returns the cheapest chain over sampled targets, or ErrNoChain.
+func (p *Plan) Choose(opts Ask) (Chain, error) {
+	var buffer [48]node
+	nodes := buffer[:0]
+	best := noNode
 	for i := range p.spans {
 		s := &p.spans[i]
-		var picks [drawn]*pktarget.Target
-		for _, t := range picks[:s.pick(&a, picks[:a.Policy.draws()])] {
+		var sample [sampleSize]*pktarget.Target
+		for _, t := range sample[:s.sample(&opts, sample[:opts.Policy.sampleSize()])] {
 			n := node{target: t, layers: s.layers}
-			if !n.join(nodes, &a) {
+			if !n.relax(nodes, &opts) {
 				continue
 			}
 			nodes = append(nodes, n)
 			last := len(nodes) - 1
-			if n.layers.End == p.Want.Layers && (best == nobody || n.back(&a) < nodes[best].back(&a)) {
+			if n.layers.End == p.Want.Layers && (best == noNode || n.totalCost(&opts) < nodes[best].totalCost(&opts)) {
 				best = last
 			}
 		}
 	}
-	if best == nobody {
+	if best == noNode {
 		return Chain{}, ErrNoChain
 	}
-	return chainOf(nodes, best, &a), nil
+	return chainOf(nodes, best, &opts), nil
 }
 
-// join finds the cheapest way to reach n and says whether there is one. Spans
-// are in order of their first layer, so whatever ends where n begins is there.
-func (n *node) join(nodes []node, a *Ask) bool {
-	own := a.Policy.cost(n.target)
+// relax finds the cheapest predecessor of n and reports whether n can be reached. Spans are ordered
+// by their first layer, so all nodes that end where n begins are already present.
+func (n *node) relax(nodes []node, opts *Ask) bool {
+	nodeCost := opts.Policy.cost(n.target)
 	if n.layers.First == 0 {
-		n.before = nobody
-		n.cost = own + a.Links.Time(a.From, n.target.Info.DataCenter)
+		n.prev = noNode
+		n.cost = nodeCost + opts.Links.Time(opts.From, n.target.Info.DataCenter)
 		return true
 	}
-	n.before = nobody
+	n.prev = noNode
 	for i := range nodes {
 		if nodes[i].layers.End != n.layers.First {
 			continue
 		}
-		link := a.Links.Time(nodes[i].target.Info.DataCenter, n.target.Info.DataCenter)
-		cost := nodes[i].cost + link + own
-		if n.before == nobody || cost < n.cost {
-			n.before = i
+		link := opts.Links.Time(nodes[i].target.Info.DataCenter, n.target.Info.DataCenter)
+		cost := nodes[i].cost + link + nodeCost
+		if n.prev == noNode || cost < n.cost {
+			n.prev = i
 			n.cost = cost
 		}
 	}
-	return n.before != nobody
+	return n.prev != noNode
 }
 
-// back returns the cost with the way back to the entry.
-func (n *node) back(a *Ask) time.Duration {
-	return n.cost + a.Links.Time(n.target.Info.DataCenter, a.From)
+// totalCost returns the cost including the link back to the entry.
+func (n *node) totalCost(opts *Ask) time.Duration {
+	return n.cost + opts.Links.Time(n.target.Info.DataCenter, opts.From)
 }
 
-func chainOf(nodes []node, last int, a *Ask) Chain {
+func chainOf(nodes []node, last int, opts *Ask) Chain {
 	var c Chain
-	for i := last; i != nobody; i = nodes[i].before {
+	for i := last; i != noNode; i = nodes[i].prev {
 		c.Stages = append(c.Stages, nodes[i].target)
 	}
 	slices.Reverse(c.Stages)
-	c.Step = stepTime(c.Stages, a)
+	c.Step = stepTime(c.Stages, opts)
 	return c
 }
 
-// stepTime is what a token takes. It is not the cost of the path: that holds
-// what queueing would add for a newcomer, and a deadline judged by it would
-// refuse requests that only have to wait their turn.
-func stepTime(stages []*pktarget.Target, a *Ask) time.Duration {
-	at := a.From
-	var sum time.Duration
+// stepTime returns the time of a token through the stages. It leaves out the cost of queueing: a
+// deadline checked against that would refuse requests that only have to wait.
+func stepTime(stages []*pktarget.Target, opts *Ask) time.Duration {
+	from := opts.From
+	var total time.Duration
 	for _, t := range stages {
-		sum += t.StepTime() + a.Links.Time(at, t.Info.DataCenter)
-		at = t.Info.DataCenter
+		total += t.StepTime() + opts.Links.Time(from, t.Info.DataCenter)
+		from = t.Info.DataCenter
 	}
-	return sum + a.Links.Time(at, a.From)
+	return total + opts.Links.Time(from, opts.From)
 }
 
-// stageCost is the time of a step, with what queueing would add.
+// stageCost returns the time of a step plus the cost of queueing.
 func stageCost(t *pktarget.Target) time.Duration {
 	step := t.StepTime()
-	if short := 1 - t.Room(); short > 0 {
-		step += time.Duration(short) * step / 4 * queueSteps
+	if queued := 1 - t.Room(); queued > 0 {
+		step += time.Duration(queued) * step / 4 * queueSteps
 	}
 	return step
 }
 
-// pick fills out with different usable targets and returns how many it found.
-func (s *span) pick(a *Ask, out []*pktarget.Target) int {
+// sample fills out with distinct usable targets and returns how many it found.
+func (s *span) sample(opts *Ask, out []*pktarget.Target) int {
 	found := 0
-	for range len(out) + extraDraws {
-		t := s.targets[a.Policy.draw(s, a.Rand)]
-		if !a.usable(t) || slices.Contains(out[:found], t) {
+	for range len(out) + extraSamples {
+		t := s.targets[opts.Policy.sampleIndex(s, opts.Rand)]
+		if !opts.usable(t) || slices.Contains(out[:found], t) {
 			continue
 		}
 		out[found] = t
@@ -167,12 +165,11 @@
 	if found > 0 {
 		return found
 	}
-	// So many draws without a usable target mean that most are gone; only
-	// then is the range searched, or the last good one would not be found.
-	start := a.Rand.IntN(len(s.targets))
+	// Only unusable targets were sampled, so most are unusable; a scan finds the last usable one.
+	start := opts.Rand.IntN(len(s.targets))
 	for i := range s.targets {
 		t := s.targets[(start+i)%len(s.targets)]
-		if a.usable(t) {
+		if opts.usable(t) {
 			out[0] = t
 			return 1
 		}
--- a/pkroute/links.go
+++ b/pkroute/links.go
@@ -6,21 +6,21 @@
 	"peridotknot.example/pkid"
 )
 
-// Links gives the one-way time between data centres; the zero value takes
-// every link as free.
+// Links holds the one-way delays between data centres; with the zero value every link takes no
+// time.
 type Links struct {
-	// Far is the time of a link that Times does not have.
+	// Far is the delay between different data centres that are not listed.
 	Far   time.Duration
 	Times map[Link]time.Duration
 }
 
-// Link is a pair of data centres, from and to.
+// Link is a directed pair of data centres.
 type Link struct {
 	From pkid.DataCenter
 	To   pkid.DataCenter
 }
 
-// Time returns the one-way time from one data centre to another.
+// Time returns the one-way delay from one data centre to another.
 func (l Links) Time(from, to pkid.DataCenter) time.Duration {
 	if t, found := l.Times[Link{From: from, To: to}]; found {
 		return t
--- a/pkroute/plan.go
+++ b/pkroute/plan.go
@@ -9,7 +9,7 @@
 	"peridotknot.example/pktarget"
 )
 
-// Want names what a chain must hold.
+// Want describes what the targets of a chain must hold.
 type Want struct {
 	Pool    pkid.PoolID
 	Model   pkid.ModelID
@@ -18,8 +18,8 @@
 	Layers  pkid.Layer
 }
 
-// Plan is the targets that can serve a Want, grouped by layer range. It does
-// not change; another is made when targets come, go or hold something else.
+// Plan is the targets that can be part of a chain, grouped by layer range. It is immutable; a new
+// one is made when targets join, leave or load something else.
 type Plan struct {
 	Want  Want
 	spans []span
@@ -29,21 +29,21 @@
 type span struct {
 	layers  pkid.Range
 	targets []*pktarget.Target
-	// upTo holds running sums of the targets' rates, to draw by.
-	upTo []float64
+	// cumulativeRates are the running sums of the targets' rates.
+	cumulativeRates []float64
 }
 
-// NewPlan groups the targets that hold what want names.
-func NewPlan(want Want, all []*pktarget.Target) *Plan {
+// NewPlan groups the targets that match spec by layer range.
+func NewPlan(spec Want, targets []*pktarget.Target) *Plan {
 	byRange := map[pkid.Range][]*pktarget.Target{}
-	for _, t := range all {
-		if h := t.Holding(); h != nil && t.Info.Pool == want.Pool && want.fits(h) {
+	for _, t := range targets {
+		if h := t.Holding(); h != nil && t.Info.Pool == spec.Pool && spec.matches(h) {
 			byRange[h.Range] = append(byRange[h.Range], t)
 		}
 	}
-	p := &Plan{Want: want}
-	for layers, targets := range byRange {
-		p.spans = append(p.spans, newSpan(layers, targets))
+	p := &Plan{Want: spec}
+	for layers, inRange := range byRange {
+		p.spans = append(p.spans, newSpan(layers, inRange))
 	}
 	slices.SortFunc(p.spans, func(a, b span) int {
 		return cmp.Or(cmp.Compare(a.layers.First, b.layers.First), cmp.Compare(a.layers.End, b.layers.End))
@@ -51,30 +51,30 @@
 	return p
 }
 
-func (w Want) fits(h *pktarget.Holding) bool {
-	if h.Model != w.Model || h.Version != w.Version || h.Range.Len() <= 0 {
+func (s Want) matches(h *pktarget.Holding) bool {
+	if h.Model != s.Model || h.Version != s.Version || h.Range.Len() <= 0 {
 		return false
 	}
-	return w.Adapter == "" || slices.Contains(h.Adapters, w.Adapter)
+	return s.Adapter == "" || slices.Contains(h.Adapters, s.Adapter)
 }
 
 func newSpan(layers pkid.Range, targets []*pktarget.Target) span {
-	s := span{layers: layers, targets: targets, upTo: make([]float64, len(targets))}
-	sum := 0.0
+	s := span{layers: layers, targets: targets, cumulativeRates: make([]float64, len(targets))}
+	total := 0.0
 	for i, t := range targets {
-		sum += max(t.Rate(), 1)
-		s.upTo[i] = sum
+		total += max(t.Rate(), 1)
+		s.cumulativeRates[i] = total
 	}
 	return s
 }
 
-// draw returns the position of a target, drawn by rate; u is in [0, 1).
-func (s *span) draw(u float64) int {
-	total := s.upTo[len(s.upTo)-1]
-	return min(sort.SearchFloat64s(s.upTo, u*total), len(s.targets)-1)
+// sampleByRate returns the index of a target, sampled in proportion to its rate; u is in [0, 1).
+func (s *span) sampleByRate(u float64) int {
+	total := s.cumulativeRates[len(s.cumulativeRates)-1]
+	return min(sort.SearchFloat64s(s.cumulativeRates, u*total), len(s.targets)-1)
 }
 
-// Targets returns every target of the plan.
+// Targets returns all targets of the plan.
 func (p *Plan) Targets() []*pktarget.Target {
 	var out []*pktarget.Target
 	for i := range p.spans {
--- a/pkroute/policy.go
+++ b/pkroute/policy.go
@@ -7,45 +7,43 @@
 	"peridotknot.example/pktarget"
 )
 
-// Policy is a way to choose among the targets of a range. All but the first are
-// there to be compared with it.
+// Policy is a way to choose among the targets of a range. All but ByCost exist for comparison.
 type Policy string
 
-// Policies.
+// Policies by their names in the settings.
 const (
-	// ByCost draws a few by rate and takes the cheapest path by step time under
-	// corrected load, queue and links.
+	// ByCost samples a few targets by rate and takes the cheapest path by step time under the
+	// corrected load, queueing and links.
 	ByCost Policy = ""
-	// AtRandom takes any one target of each range, and any path.
+	// AtRandom takes a random target of each range.
 	AtRandom Policy = "random"
-	// BestOfTwo takes the one of two with fewer requests.
+	// BestOfTwo takes the one of two random targets with fewer requests.
 	BestOfTwo Policy = "best_of_two"
-	// LeastConnections takes the one with fewest requests of this entry among
-	// all that are drawn.
+	// LeastConnections takes the sampled target with the fewest requests of this entry.
 	LeastConnections Policy = "least_connections"
 )
 
-func (p Policy) draws() int {
+func (p Policy) sampleSize() int {
 	switch p {
 	case AtRandom:
 		return 1
 	case BestOfTwo:
 		return 2
 	default:
-		return drawn
+		return sampleSize
 	}
 }
 
-// draw returns the place of a target in a range.
-func (p Policy) draw(s *span, r *rand.Rand) int {
+// sampleIndex returns the index of a sampled target of a range.
+func (p Policy) sampleIndex(s *span, r *rand.Rand) int {
 	if p == ByCost {
-		return s.draw(r.Float64())
+		return s.sampleByRate(r.Float64())
 	}
 	return r.IntN(len(s.targets))
 }
 
-// cost returns what a stage costs in the eyes of the policy. The others know
-// requests and not times, so a request counts as a millisecond for them.
+// cost returns the cost of a stage under the policy. Policies that compare numbers of requests
+// count each as a millisecond.
 func (p Policy) cost(t *pktarget.Target) time.Duration {
 	switch p {
 	case AtRandom:
--- a/pkroute/service.go
+++ b/pkroute/service.go
@@ -9,29 +9,29 @@
 // ErrNoTarget says that a pool has no usable target.
 var ErrNoTarget = errors.New("the pool has no usable target")
 
-// Service returns the less loaded of two usable targets of a pool's targets.
-func Service(all []*pktarget.Target, a Ask) (*pktarget.Target, error) {
-	if len(all) == 0 {
+// Service returns the less loaded of two random usable targets, or ErrNoTarget.
+func Service(targets []*pktarget.Target, opts Ask) (*pktarget.Target, error) {
+	if len(targets) == 0 {
 		return nil, ErrNoTarget
 	}
-	start := a.Rand.IntN(len(all))
+	start := opts.Rand.IntN(len(targets))
 	var first *pktarget.Target
-	for i := range all {
-		t := all[(start+i)%len(all)]
-		if !a.usable(t) {
+	for i := range targets {
+		t := targets[(start+i)%len(targets)]
+		if !opts.usable(t) {
 			continue
 		}
 		if first == nil {
 			first = t
-			// The second draw must be independent of the first, or the
-			// neighbour of a dead target gets both shares.
-			start += a.Rand.IntN(len(all))
+			// The second sample must be independent of the first, or the neighbor of an unusable
+			// target gets the share of both.
+			start += opts.Rand.IntN(len(targets))
 			continue
 		}
 		if t == first {
 			continue
 		}
-		if serviceCost(t, a) < serviceCost(first, a) {
+		if serviceCost(t, opts) < serviceCost(first, opts) {
 			return t, nil
 		}
 		return first, nil
@@ -42,8 +42,8 @@
 	return first, nil
 }
 
-func serviceCost(t *pktarget.Target, a Ask) int64 {
+func serviceCost(t *pktarget.Target, opts Ask) int64 {
 	const perMillisecond = 1000
-	link := a.Links.Time(a.From, t.Info.DataCenter)
+	link := opts.Links.Time(opts.From, t.Info.DataCenter)
 	return t.Load()*perMillisecond + link.Microseconds()
 }
