--- a/pkorder/doc.go
+++ b/pkorder/doc.go
@@ -1,8 +1,8 @@
-// Package pkorder decides what the engines of a pool should hold and which of
-// them is told next.
+// Package pkorder decides what the engines of a pool should hold and which of them is reloaded
+// next.
 //
-// Orders state the wanted end, so repeating one is harmless. A roll-out goes
-// from what engines report: those that hold something else than the manifest
-// wants are reloaded a few at a time, as many as the weight store's rate allows,
-// and none while its absence would leave less than the present demand needs.
+// Orders state the desired end state, so repeating one is harmless. A rollout follows from what
+// engines report: those that do not hold what the manifest asks for are reloaded, no more at a time
+// than the model's limit on concurrent loads, and none whose absence would leave less capacity than
+// the present demand needs.
 package pkorder
--- a/pkorder/plan.go
+++ b/pkorder/plan.go
@@ -12,69 +12,68 @@
 	"peridotknot.example/pktarget"
 )
 
-// Situation is what a pool looks like to its owner.
+// Situation is the state of a pool as its owner sees it.
 type Situation struct {
 	Model *pkmanifest.Model
 	// Targets are the pool's engines that are not leaving.
 	Targets []*pktarget.Target
-	// Loading are those that carry an order out, with the range they will
-	// hold; the zero range if that is not known.
+	// Loading are the engines that are carrying out an order, with the range they will hold; the
+	// zero range if it is unknown.
 	Loading map[pkid.TargetID]pkid.Range
 	// Demand is how many requests the pool must be able to run at once.
 	Demand float64
 	Fence  pkid.Fence
 }
 
-// Told is an order and the target that should get it.
+// Told is an order and the target to send it to.
 type Told struct {
 	Target *pktarget.Target
 	Order  pkengine.Order
 }
 
 const (
-	// reserve is the spare capacity kept above the demand while engines
-	// reload.
-	reserve = 1.15
-	// floor is the share of the pool's whole capacity that is kept, whatever
-	// the demand is: a burst comes faster than weights can be loaded back.
-	floor = 0.75
+	// headroom is the factor by which the capacity must exceed the demand while engines reload.
+	headroom = 1.15
+	// minCapacityShare is the share of the pool's full capacity that is kept whatever the demand
+	// is: a burst arrives faster than weights can be loaded.
+	minCapacityShare = 0.75
 )
 
 // Next returns the orders that may be sent now.
 func Next(s Situation) []Told {
 	p := newPlan(s)
-	room := s.Model.LoadsAtOnce - len(s.Loading)
+	budget := s.Model.LoadsAtOnce - len(s.Loading)
 	var out []Told
-	for len(out) < room {
-		t, r, found := p.best(p.least())
+	for len(out) < budget {
+		t, r, found := p.bestReload(p.minCapacity())
 		if !found && len(out)+len(s.Loading) == 0 {
-			// A small pool cannot keep the floor with any engine gone; the
-			// demand alone decides then, or it would never be upgraded.
-			t, r, found = p.best(s.Demand * reserve)
+			// A small pool cannot keep minCapacityShare without any of its engines. Only the demand
+			// counts then, or the pool would never be upgraded.
+			t, r, found = p.bestReload(s.Demand * headroom)
 		}
 		if !found {
 			break
 		}
-		p.take(t, r)
+		p.assign(t, r)
 		out = append(out, Told{Target: t, Order: p.order(r)})
 	}
 	return out
 }
 
-// plan is a situation with what is already on its way.
+// plan is a pool with the orders that are under way.
 type plan struct {
 	Situation
 	wanted map[pkid.Range]int
 	have   map[pkid.Range]int
-	// serving are the targets that can serve now, and slots what they can run
-	// at once; coming is what those that load will add.
-	serving []*pktarget.Target
-	slots   capacity
-	coming  map[pkid.Range]float64
-	whole   float64
+	// available are the targets that are not loading, slots the capacity of those that hold layers;
+	// pending is the capacity that the loading ones will add.
+	available    []*pktarget.Target
+	slots        capacity
+	pending      map[pkid.Range]float64
+	fullCapacity float64
 }
 
-// capacity is slots by version and range.
+// capacity is the number of slots by version and range.
 type capacity map[pkid.Version]map[pkid.Range]float64
 
 func (c capacity) add(v pkid.Version, r pkid.Range, n float64) {
@@ -96,66 +95,65 @@
 func newPlan(s Situation) *plan {
 	p := &plan{
 		Situation: s,
-		wanted:    shares(s.Model.Splits, len(s.Targets)),
+		wanted:    apportion(s.Model.Splits, len(s.Targets)),
 		have:      map[pkid.Range]int{},
 		slots:     capacity{},
-		coming:    map[pkid.Range]float64{},
+		pending:   map[pkid.Range]float64{},
 	}
-	whole := capacity{}
+	full := capacity{}
 	for _, t := range s.Targets {
 		h := t.Holding()
 		if r, loading := s.Loading[t.Info.ID]; loading {
 			p.have[r]++
-			p.coming[r] += t.Slots()
-			whole.add(s.Model.Version, r, t.Slots())
+			p.pending[r] += t.Slots()
+			full.add(s.Model.Version, r, t.Slots())
 			continue
 		}
-		p.serving = append(p.serving, t)
+		p.available = append(p.available, t)
 		if h == nil || h.Model != s.Model.ID || h.Range.Len() == 0 {
 			continue
 		}
 		p.slots.add(h.Version, h.Range, t.Slots())
-		// Over all versions together: what the pool can run once all of it
-		// is of one version again.
-		whole.add(s.Model.Version, h.Range, t.Slots())
-		if p.right(h) {
+		// Counted as if all were of one version: the capacity once the rollout is complete.
+		full.add(s.Model.Version, h.Range, t.Slots())
+		if p.matches(h) {
 			p.have[h.Range]++
 		}
 	}
-	p.whole = whole.flow(s.Model.Layers)
+	p.fullCapacity = full.flow(s.Model.Layers)
 	return p
 }
 
-// least returns what must go on serving.
-func (p *plan) least() float64 { return max(p.Demand*reserve, floor*p.whole) }
+// minCapacity returns the capacity that must stay in service.
+func (p *plan) minCapacity() float64 { return max(p.Demand*headroom, minCapacityShare*p.fullCapacity) }
 
-// shares splits n targets by weight, the largest remainders first.
-func shares(splits []pkmanifest.Split, n int) map[pkid.Range]int {
+// apportion splits n targets by weight, with the largest remainders rounded up.
+func apportion(splits []pkmanifest.Split, n int) map[pkid.Range]int {
 	total := 0
 	for _, s := range splits {
 		total += s.Weight
 	}
-	type part struct {
-		r    pkid.Range
-		rest int
+	type share struct {
+		r         pkid.Range
+		remainder int
 	}
 	out := map[pkid.Range]int{}
-	parts := make([]part, len(splits))
-	left := n
+	rounded := make([]share, len(splits))
+	unassigned := n
 	for i, s := range splits {
 		out[s.Range()] = n * s.Weight / total
-		left -= out[s.Range()]
-		parts[i] = part{r: s.Range(), rest: n * s.Weight % total}
+		unassigned -= out[s.Range()]
+		rounded[i] = share{r: s.Range(), remainder: n * s.Weight % total}
 	}
-	slices.SortStableFunc(parts, func(a, b part) int { return cmp.Compare(b.rest, a.rest) })
-	for i := range left {
-		out[parts[i%len(parts)].r]++
+	slices.SortStableFunc(rounded, func(a, b share) int { return cmp.Compare(b.remainder, a.remainder) })
+	for i := range unassigned {
+		out[rounded[i%len(rounded)].r]++
 	}
 	return out
 }
 
-// right says whether an engine holds something that the manifest wants.
-func (p *plan) right(h *pktarget.Holding) bool {
+// matches reports whether an engine holds what the manifest asks for.
+func (p *plan) matches(h *pktarget.Holding) bool {
 	if h == nil || h.Model != p.Model.ID || h.Version != p.Model.Version {
 		return false
 	}
@@ -164,40 +162,39 @@
 	return wanted && p.order(h.Range).Met(held)
 }
 
-// best returns the engine whose reloading leaves the pool best off, and what it
-// should hold then, if without it no less than least can run. Engines that hold
-// the same are alike, so one of each is looked at.
+// bestReload returns the engine whose reload leaves the pool with the most capacity, and the range
+// it should load, provided that at least minCapacity stays in service meanwhile. Engines that hold
+// the same are interchangeable, so only one of each is tried.
 //
-// The order matters: reloading all engines of one range first would leave the
-// former version without that range and the new one without the others, and
-// neither could serve.
-func (p *plan) best(least float64) (*pktarget.Target, pkid.Range, bool) {
+// The order matters: if all engines of one range were reloaded first, the old version would lack
+// that range and the new version all others, and neither could serve.
+func (p *plan) bestReload(minCapacity float64) (*pktarget.Target, pkid.Range, bool) {
 	var best *pktarget.Target
 	var to pkid.Range
-	var most float64
+	var bestCapacity float64
 	seen := map[string]bool{}
 	for _, t := range p.candidates() {
-		kind := p.kind(t)
-		if seen[kind] {
+		key := p.equivalenceKey(t)
+		if seen[key] {
 			continue
 		}
-		seen[kind] = true
-		r, found := p.mostNeeded(t)
+		seen[key] = true
+		r, found := p.neededRange(t)
 		if !found {
 			continue
 		}
-		without, then := p.without(t, r)
-		if p.serves(t) && without < least {
+		during, after := p.capacityWithout(t, r)
+		if p.serves(t) && during < minCapacity {
 			continue
 		}
-		if best == nil || then > most || (then == most && p.coverage(r) < p.coverage(to)) {
-			best, to, most = t, r, then
+		if best == nil || after > bestCapacity || (after == bestCapacity && p.coverage(r) < p.coverage(to)) {
+			best, to, bestCapacity = t, r, after
 		}
 	}
 	return best, to, best != nil
 }
 
-func (p *plan) kind(t *pktarget.Target) string {
+func (p *plan) equivalenceKey(t *pktarget.Target) string {
 	h := t.Holding()
 	if h == nil {
 		return ""
@@ -210,28 +207,28 @@
 	return h != nil && h.Model == p.Model.ID && h.Range.Len() > 0
 }
 
-// without returns what can run at once while t reloads, and once it and all
-// that load already hold what they were told.
-func (p *plan) without(t *pktarget.Target, r pkid.Range) (now, then float64) {
+// capacityWithout returns the capacity while t reloads, and the capacity once t and all engines
+// that are loading have finished.
+func (p *plan) capacityWithout(t *pktarget.Target, r pkid.Range) (during, after float64) {
 	c := capacity{}
 	for v, ranges := range p.slots {
-		for at, n := range ranges {
-			c.add(v, at, n)
+		for span, n := range ranges {
+			c.add(v, span, n)
 		}
 	}
 	if p.serves(t) {
 		h := t.Holding()
 		c.add(h.Version, h.Range, -t.Slots())
 	}
-	now = c.flow(p.Model.Layers)
-	for at, n := range p.coming {
-		c.add(p.Model.Version, at, n)
+	during = c.flow(p.Model.Layers)
+	for span, n := range p.pending {
+		c.add(p.Model.Version, span, n)
 	}
 	c.add(p.Model.Version, r, t.Slots())
-	return now, c.flow(p.Model.Layers)
+	return during, c.flow(p.Model.Layers)
 }
 
-// coverage returns how much of what a range should have it has.
+// coverage returns the share of its wanted targets that a range has.
 func (p *plan) coverage(r pkid.Range) float64 {
 	return float64(p.have[r]) / float64(max(p.wanted[r], 1))
 }
@@ -239,28 +236,27 @@
 // candidates returns the engines that should hold something else.
 func (p *plan) candidates() []*pktarget.Target {
 	var out []*pktarget.Target
-	over := map[pkid.Range]int{}
+	surplus := map[pkid.Range]int{}
 	for r, n := range p.have {
-		over[r] = n - p.wanted[r]
+		surplus[r] = n - p.wanted[r]
 	}
-	for _, t := range p.serving {
+	for _, t := range p.available {
 		h := t.Holding()
 		switch {
-		case !p.right(h):
+		case !p.matches(h):
 			out = append(out, t)
-		case over[h.Range] > 0:
-			over[h.Range]--
+		case surplus[h.Range] > 0:
+			surplus[h.Range]--
 			out = append(out, t)
 		}
 	}
 	return out
 }
 
-// mostNeeded returns the range that a target should get: the one it holds if
-// that still needs targets, since its weights may be near, or else the one
-// with the smallest part of what it should have.
-func (p *plan) mostNeeded(t *pktarget.Target) (pkid.Range, bool) {
-	if h := t.Holding(); h != nil && !p.right(h) && p.have[h.Range] < p.wanted[h.Range] {
+// neededRange returns the range that a target should load: the one it holds if that still lacks
+// targets, since its weights may be cached nearby, or else the range with the lowest coverage.
+func (p *plan) neededRange(t *pktarget.Target) (pkid.Range, bool) {
+	if h := t.Holding(); h != nil && !p.matches(h) && p.have[h.Range] < p.wanted[h.Range] {
 		return h.Range, true
 	}
 	var best pkid.Range
@@ -277,8 +273,7 @@
 	return best, found
 }
 
-// Versions returns the versions of a model that targets hold, the manifest's
-// own first.
+// Versions returns the versions of a model that targets hold, the manifest's version first.
 func Versions(m *pkmanifest.Model, targets []*pktarget.Target) []pkid.Version {
 	out := []pkid.Version{m.Version}
 	for _, t := range targets {
@@ -290,17 +285,17 @@
 	return out
 }
 
-func (p *plan) take(t *pktarget.Target, r pkid.Range) {
-	p.serving = slices.DeleteFunc(p.serving, func(o *pktarget.Target) bool { return o == t })
+func (p *plan) assign(t *pktarget.Target, r pkid.Range) {
+	p.available = slices.DeleteFunc(p.available, func(other *pktarget.Target) bool { return other == t })
 	h := t.Holding()
 	if p.serves(t) {
 		p.slots.add(h.Version, h.Range, -t.Slots())
 	}
-	if p.right(h) {
+	if p.matches(h) {
 		p.have[h.Range]--
 	}
 	p.have[r]++
-	p.coming[r] += t.Slots()
+	p.pending[r] += t.Slots()
 }
 
 func (p *plan) order(r pkid.Range) pkengine.Order {
--- a/pkorder/plan_test.go
+++ b/pkorder/plan_test.go
@@ -13,64 +13,62 @@
 	"peridotknot.example/pktarget"
 )
 
-var start = time.Unix(1000, 0)
+var now = time.Unix(1000, 0)
 
 const slots = 10
 
-func model(version pkid.Version, atOnce int) *pkmanifest.Model {
+func testModel(version pkid.Version, maxLoads int) *pkmanifest.Model {
 	return &pkmanifest.Model{
-		ID: "m", Version: version, Pool: "p", Layers: 8, LoadsAtOnce: atOnce,
+		ID: "m", Version: version, Pool: "p", Layers: 8, LoadsAtOnce: maxLoads,
 		Splits: []pkmanifest.Split{{First: 0, End: 4, Weight: 1}, {First: 4, End: 8, Weight: 1}},
 	}
 }
 
-func engine(i int, version pkid.Version, first, end pkid.Layer) *pktarget.Target {
+func testEngine(i int, version pkid.Version, first, end pkid.Layer) *pktarget.Target {
 	t := pktarget.NewTarget(pktarget.Info{ID: pkid.TargetID(fmt.Sprint(i)), Pool: "p"})
-	t.Observe(pktarget.Report{MaxBatch: slots, Step: time.Millisecond, PerSeq: time.Microsecond}, start)
+	t.Observe(pktarget.Report{MaxBatch: slots, Step: time.Millisecond, PerSeq: time.Microsecond}, now)
 	t.Hold(pktarget.Holding{Model: "m", Version: version, Range: pkid.Range{First: first, End: end}})
 	return t
 }
 
-func halves(n int, version pkid.Version) []*pktarget.Target {
+func splitEngines(n int, version pkid.Version) []*pktarget.Target {
 	var out []*pktarget.Target
 	for i := range n {
 		first := pkid.Layer(i%2) * 4
-		out = append(out, engine(i, version, first, first+4))
+		out = append(out, testEngine(i, version, first, first+4))
 	}
 	return out
 }
 
-// A nightly upgrade reloads every engine while callers go on. Whatever the
-// demand is, the engines that still serve must meet it after each order, only
-// so many may load at once, and the roll-out must end with all on the new
-// version if the demand leaves any room.
-func TestRollOutKeepsTheDemand(t *testing.T) {
+// Guards against rollouts that take more engines out of service than the demand or the load limit
+// allows, or that do not reach the new version though there is spare capacity.
+func TestRolloutPreservesDemand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := 2 * rapid.IntRange(2, 8).Draw(t, "pairs")
-		atOnce := rapid.IntRange(1, 4).Draw(t, "at once")
-		demand := float64(rapid.IntRange(0, (n/2-1)*slots).Draw(t, "demand")) / reserve * 0.99
-		targets := halves(n, "1")
-		m := model("2", atOnce)
+		maxLoads := rapid.IntRange(1, 4).Draw(t, "at once")
+		demand := float64(rapid.IntRange(0, (n/2-1)*slots).Draw(t, "demand")) / headroom * 0.99
+		targets := splitEngines(n, "1")
+		m := testModel("2", maxLoads)
 		loading := map[pkid.TargetID]pkid.Range{}
 		for range 4 * n {
-			told := Next(Situation{Model: m, Targets: targets, Loading: loading, Demand: demand})
-			for _, one := range told {
+			orders := Next(Situation{Model: m, Targets: targets, Loading: loading, Demand: demand})
+			for _, one := range orders {
 				loading[one.Target.Info.ID] = pkid.Range{First: one.Order.First, End: one.Order.End}
 			}
-			if len(loading) > atOnce {
-				t.Fatalf("%d engines load at once", len(loading))
+			if len(loading) > maxLoads {
+				t.Fatalf("%d engines are loading at once", len(loading))
 			}
 			var serving []*pktarget.Target
 			for _, one := range targets {
-				if _, is := loading[one.Info.ID]; !is {
+				if _, busy := loading[one.Info.ID]; !busy {
 					serving = append(serving, one)
 				}
 			}
 			p := newPlan(Situation{Model: m, Targets: serving})
-			if got := p.slots.flow(8); len(told) > 0 && got < demand {
-				t.Fatalf("%g slots are left for a demand of %g", got, demand)
+			if got := p.slots.flow(8); len(orders) > 0 && got < demand {
+				t.Fatalf("%g slots stay in service for a demand of %g", got, demand)
 			}
-			for _, one := range told {
+			for _, one := range orders {
 				r := pkid.Range{First: one.Order.First, End: one.Order.End}
 				one.Target.Hold(pktarget.Holding{Model: "m", Version: one.Order.Version, Range: r})
 				delete(loading, one.Target.Info.ID)
@@ -78,7 +76,7 @@
 		}
 		have := newPlan(Situation{Model: m, Targets: targets}).have
 		if have[pkid.Range{First: 0, End: 4}] != n/2 || have[pkid.Range{First: 4, End: 8}] != n/2 {
-			t.Fatalf("the roll-out ended with %v of %d", have, n)
+			t.Fatalf("the rollout ended with %v, %d engines", have, n)
 		}
 	})
 }
@@ -90,21 +88,21 @@
 		demand  float64
 		want    int
 	}{
-		"all is as wanted":              {halves(4, "2"), nil, 0, 0},
-		"an empty engine is used":       {append(halves(4, "2"), engine(9, "", 0, 0)), nil, 20, 1},
-		"a small pool goes one by one":  {halves(4, "1"), nil, 0, 1},
-		"a large pool goes by its rate": {halves(40, "1"), nil, 0, 2},
-		"others load already":           {halves(4, "1"), map[pkid.TargetID]pkid.Range{"0": {End: 4}, "1": {First: 4, End: 8}}, 0, 0},
-		"the demand needs them all":     {halves(4, "1"), nil, 20, 0},
-		"a range has too many":          {[]*pktarget.Target{engine(0, "2", 0, 4), engine(1, "2", 0, 4), engine(2, "2", 0, 4), engine(3, "2", 4, 8)}, nil, 0, 1},
-		"a range nobody wants":          {append(halves(4, "2"), engine(9, "2", 2, 6), engine(10, "2", 2, 6)), nil, 0, 2},
-		"another model's leftover":      {append(halves(3, "2"), engine(9, "old", 0, 4)), nil, 0, 1},
-		"no engines":                    {nil, nil, 0, 0},
-		"no reload without any spare":   {halves(2, "1"), nil, 1, 0},
+		"nothing to change":                  {splitEngines(4, "2"), nil, 0, 0},
+		"an empty engine is loaded":          {append(splitEngines(4, "2"), testEngine(9, "", 0, 0)), nil, 20, 1},
+		"a small pool reloads one at a time": {splitEngines(4, "1"), nil, 0, 1},
+		"a large pool reloads at its limit":  {splitEngines(40, "1"), nil, 0, 2},
+		"the load limit is reached":          {splitEngines(4, "1"), map[pkid.TargetID]pkid.Range{"0": {End: 4}, "1": {First: 4, End: 8}}, 0, 0},
+		"the demand needs every engine":      {splitEngines(4, "1"), nil, 20, 0},
+		"a range has a surplus":              {[]*pktarget.Target{testEngine(0, "2", 0, 4), testEngine(1, "2", 0, 4), testEngine(2, "2", 0, 4), testEngine(3, "2", 4, 8)}, nil, 0, 1},
+		"a range not in the manifest":        {append(splitEngines(4, "2"), testEngine(9, "2", 2, 6), testEngine(10, "2", 2, 6)), nil, 0, 2},
+		"an engine of an old version":        {append(splitEngines(3, "2"), testEngine(9, "old", 0, 4)), nil, 0, 1},
+		"no engines":                         {nil, nil, 0, 0},
+		"no reload without spare capacity":   {splitEngines(2, "1"), nil, 1, 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			got := Next(Situation{Model: model("2", 2), Targets: c.targets, Loading: c.loading, Demand: c.demand, Fence: 3})
+			got := Next(Situation{Model: testModel("2", 2), Targets: c.targets, Loading: c.loading, Demand: c.demand, Fence: 3})
 			assert.Equal(t, len(got), c.want)
 			for _, one := range got {
 				assert.Equal(t, one.Order.Fence, pkid.Fence(3))
