--- a/pkstall/doc.go
+++ b/pkstall/doc.go
@@ -1,6 +1,6 @@
-// Package pkstall finds the engine that streams wait for.
+// Package pkstall finds the engine that silent streams are waiting for.
 //
-// A stream that passes through many engines falls silent when one of them dies, and
-// nothing in it says which. Many streams together do: those through the dead engine
-// are silent, and each engine of a stream that still moves is alive.
+// When one of the engines of a stream dies, the stream falls silent, and nothing in it says which
+// engine it was. Taken together streams do: those through the dead engine are silent, and every
+// engine of a stream that still progresses is alive.
 package pkstall
--- /dev/null
+++ b/pkstall/stall.go
@@ -0,0 +1,186 @@
+package pkstall
+
+import (
+	"cmp"
+	"context"
+	"encoding/binary"
+	"errors"
+	"hash/fnv"
+	"slices"
+	"time"
+
+	"peridotknot.example/pkid"
+)
+
+const (
+	// silenceShare is the share of the longest pause that callers accept after which a stream
+	// without an event counts as silent. The rest must suffice to probe engines and for the first
+	// event of another attempt. With a smaller share, healthy engines of slow streams would be
+	// probed.
+	silenceShare = 0.3
+	// defaultSilence applies where the caller states no limit.
+	defaultSilence = 60 * time.Millisecond
+	// meanGapFactor multiplies the mean gap between a stream's events, so that a slow path is not
+	// taken for a dead one.
+	meanGapFactor = 2.2
+	// drainTime is how long after a stream fell silent another must have progressed to prove that
+	// an engine is alive: events that had passed a dead engine still arrive for a while.
+	drainTime = 45 * time.Millisecond
+	// minSilentStreams is how many streams must have fallen silent together.
+	minSilentStreams = 2
+	// maxProbes bounds the engines that are probed at once. Engines of a pipeline share all their
+	// streams, so each dead one leaves the whole pipeline as candidates; those with the most silent
+	// streams come first and the others after them.
+	maxProbes = 12
+	// firstEventShare is the share of the longest wait for the first event that callers accept
+	// after which a stream without one counts as silent.
+	firstEventShare = 0.4
+	// defaultFirstEvent applies where the caller states no limit.
+	defaultFirstEvent = 200 * time.Millisecond
+)
+
+// Flow is the progress of one stream.
+type Flow struct {
+	Path []pkid.TargetID
+	// Begun says that an event has arrived; Last is the time of the last one, or of sending the
+	// request.
+	Begun bool
+	Last  time.Time
+	// Pause is the mean time between events; zero before the second one.
+	Pause time.Duration
+	// Most is the longest pause that the caller accepts, First the longest wait for the first
+	// event; zero if not stated.
+	Most  time.Duration
+	First time.Duration
+}
+
+// Silent reports whether the stream counts as silent at now.
+func (s Flow) Silent(now time.Time) bool {
+	silence := now.Sub(s.Last)
+	if !s.Begun {
+		return silence >= shareOf(firstEventShare, s.First, defaultFirstEvent)
+	}
+	return silence >= max(shareOf(silenceShare, s.Most, defaultSilence), time.Duration(meanGapFactor*float64(s.Pause)))
+}
+
+// shareOf returns a share of a duration, or the fallback if the duration is zero.
+func shareOf(share float64, total, fallback time.Duration) time.Duration {
+	if total == 0 {
+		return fallback
+	}
+	return time.Duration(share * float64(total))
+}
+
+// Evidence is what is known of the engines besides their streams.
+type Evidence struct {
+	// Answered returns when an engine last gave a sign of life, zero if never; nil means never for
+	// all engines.
+	Answered func(pkid.TargetID) time.Time
+	// Turn orders engines with equally many silent streams. Entries that choose it at random probe
+	// different engines first and share what they find.
+	Turn uint64
+}
+
+// candidate is an engine that silent streams may be waiting for.
+type candidate struct {
+	id     pkid.TargetID
+	silent int
+	// stalledAt is when the last of its silent streams fell silent.
+	stalledAt time.Time
+	rank      uint64
+}
+
+// Culprits returns the engines to probe at now, those with the most silent streams first. Engines
+// that another stream has passed since, or that gave another sign of life, are left out.
+func Culprits(now time.Time, streams []Flow, e Evidence) []pkid.TargetID {
+	candidates := candidatesOf(now, streams)
+	if candidates == nil {
+		return nil
+	}
+	dropLive(candidates, streams, e)
+	var sorted []*candidate
+	for _, c := range candidates {
+		if c.silent >= minSilentStreams {
+			c.rank = tieBreak(e.Turn, c.id)
+			sorted = append(sorted, c)
+		}
+	}
+	slices.SortFunc(sorted, func(a, b *candidate) int {
+		return cmp.Or(cmp.Compare(b.silent, a.silent), cmp.Compare(a.rank, b.rank), cmp.Compare(a.id, b.id))
+	})
+	var out []pkid.TargetID
+	for _, c := range sorted[:min(len(sorted), maxProbes)] {
+		out = append(out, c.id)
+	}
+	return out
+}
+
+// candidatesOf returns the engines of silent streams; nil if too few streams are silent.
+func candidatesOf(now time.Time, streams []Flow) map[pkid.TargetID]*candidate {
+	out := map[pkid.TargetID]*candidate{}
+	silent := 0
+	for _, s := range streams {
+		if !s.Silent(now) {
+			continue
+		}
+		silent++
+		for _, id := range s.Path {
+			if out[id] == nil {
+				out[id] = &candidate{id: id}
+			}
+			out[id].silent++
+			if s.Last.After(out[id].stalledAt) {
+				out[id].stalledAt = s.Last
+			}
+		}
+	}
+	if silent < minSilentStreams {
+		return nil
+	}
+	return out
+}
+
+// dropLive removes the engines that were alive after the last of their silent streams stopped.
+func dropLive(candidates map[pkid.TargetID]*candidate, streams []Flow, e Evidence) {
+	for _, s := range streams {
+		for _, id := range s.Path {
+			if c := candidates[id]; c != nil && s.Begun && s.Last.Sub(c.stalledAt) > drainTime {
+				delete(candidates, id)
+			}
+		}
+	}
+	if e.Answered == nil {
+		return
+	}
+	for id, c := range candidates {
+		if e.Answered(id).After(c.stalledAt) {
+			delete(candidates, id)
+		}
+	}
+}
+
+// tieBreak hashes an ID with a seed; with seed zero, ties are ordered by ID.
+func tieBreak(seed uint64, id pkid.TargetID) uint64 {
+	if seed == 0 {
+		return 0
+	}
+	h := fnv.New64a()
+	_, _ = h.Write(binary.LittleEndian.AppendUint64(nil, seed)) // Write on a hash never fails.
+	_, _ = h.Write([]byte(id))
+	return h.Sum64()
+}
+
+// Dead reports whether a probed engine is dead, given the error of the probe and that of a control
+// probe to another engine at the same time.
+//
+// A refused or broken connection is the engine's own fault. A timeout may be due to overload of
+// this VM, so it counts only if the control probe succeeded.
+func Dead(probe, control error) bool {
+	if probe == nil {
+		return false
+	}
+	if errors.Is(probe, context.DeadlineExceeded) {
+		return control == nil
+	}
+	return true
+}
