--- a/pkpace/doc.go
+++ b/pkpace/doc.go
@@ -1,8 +1,7 @@
-// Package pkpace knows how much slower than its kind each engine is at present.
+// Package pkpace tracks how much slower than nominal each engine is at present.
 //
-// It answers a load in which some engines take several times as long for each step as their
-// kind does, for seconds, while others have room: paths that are chosen by what the kinds
-// declare go on leading over them, prompts stand in line there, and answers are late by pauses
-// that no dead engine explains. A few entries ask engines for their reports; what they learn is
-// told to all entries as words with an age, and a word that is not repeated is forgotten.
+// Engines may take several times as long for a step as the kind of accelerator declares, for
+// seconds at a time. Paths chosen by the declared speed would keep leading through them. A few
+// entries poll the engines for their reports and gossip what they learn to the others. Observations
+// carry their age and expire unless they are renewed.
 package pkpace
--- a/pkpace/table.go
+++ b/pkpace/table.go
@@ -10,90 +10,92 @@
 	"peridotknot.example/pkid"
 )
 
-// Factor is how many times as long as its kind an engine takes for a step; 1 is as declared.
+// Factor is the step time of an engine relative to that declared for its kind; 1 is nominal.
 type Factor float64
 
 const (
-	// Usual is the factor of an engine that is as fast as its kind.
+	// Usual is the factor of an engine with the nominal speed.
 	Usual Factor = 1
-	// slowFrom is the factor from which on an engine counts as slow: reports of sound engines
-	// scatter less.
-	slowFrom Factor = 1.25
-	// newsBy is by how much a factor must change to be told at once.
-	newsBy = 1.5
-	// holdsFor is how long a word counts: two questions and their answers may be lost.
-	holdsFor = 2500 * time.Millisecond
-	// mostFactor bounds what an engine may say of itself; ten times the slowest that is served.
-	mostFactor Factor = 1000
-	// mostWords bounds what is told at a time; the slowest engines come first.
-	mostWords = 256
+	// slowThreshold is the factor from which on an engine counts as slow; reports of healthy
+	// engines vary less.
+	slowThreshold Factor = 1.25
+	// changeFactor is the ratio by which a factor must change to be sent at once.
+	changeFactor = 1.5
+	// ttl is how long an observation is valid; it outlasts two lost polls.
+	ttl = 2500 * time.Millisecond
+	// maxFactor bounds the factor that an engine may report.
+	maxFactor Factor = 1000
+	// maxObservations bounds what is sent at once; the slowest engines come first.
+	maxObservations = 256
 )
 
-// Word is what an engine said of its pace some time ago. Spans pass between entries in place of
-// times, since their clocks differ.
+// Word is an observation of an engine's factor, as it is sent between entries. It carries an age in
+// place of a time, since the clocks of entries differ.
 type Word struct {
 	Target pkid.TargetID `cbor:"1,keyasint"`
 	Factor Factor        `cbor:"2,keyasint"`
 	AgeMS  int64         `cbor:"3,keyasint"`
-	// Born is the start of the engine that said it, where it is known.
+	// Born is the start of the engine that reported it, if known.
 	Born pkid.Birth `cbor:"4,keyasint,omitempty"`
 }
 
-// said is a word at the time when the engine was asked.
-type said struct {
+// record is an observation with the time at which the engine was polled.
+type record struct {
 	factor Factor
 	at     time.Time
 	born   pkid.Birth
 }
 
-// Table is what engines said of their paces, where they are or lately were slow; the zero value
-// is empty.
+// Table holds the latest observations of engines that are or recently were slow; the zero value is
+// empty.
 type Table struct {
-	mu   sync.Mutex
-	said map[pkid.TargetID]said
+	mu       sync.Mutex
+	byTarget map[pkid.TargetID]record
 }
 
-// Learn takes at now what an engine said at a time, of a start that is zero where it is not
-// known, and says whether that is news which the others should hear at once.
+// Learn records at now a factor observed at a given time, from a start of the engine that is zero
+// if unknown. It reports whether the change is large enough to be sent to the other entries at
+// once. Invalid, expired and outdated observations are ignored.
 func (t *Table) Learn(now time.Time, id pkid.TargetID, born pkid.Birth, f Factor, at time.Time) bool {
-	if f <= 0 || math.IsNaN(float64(f)) || at.After(now) || now.Sub(at) >= holdsFor {
+	if f <= 0 || math.IsNaN(float64(f)) || at.After(now) || now.Sub(at) >= ttl {
 		return false
 	}
-	f = min(max(f, Usual), mostFactor)
+	f = min(max(f, Usual), maxFactor)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	old, known := t.said[id]
-	if !known && f < slowFrom {
+	previous, known := t.byTarget[id]
+	if !known && f < slowThreshold {
 		return false
 	}
-	if known && (!at.After(old.at) || born < old.born) {
+	if known && (!at.After(previous.at) || born < previous.born) {
 		return false
 	}
-	if t.said == nil {
-		t.said = map[pkid.TargetID]said{}
+	if t.byTarget == nil {
+		t.byTarget = map[pkid.TargetID]record{}
 	}
-	t.said[id] = said{factor: f, at: at, born: born}
-	before := Usual
-	if known && now.Sub(old.at) < holdsFor {
-		before = old.factor
+	t.byTarget[id] = record{factor: f, at: at, born: born}
+	last := Usual
+	if known && now.Sub(previous.at) < ttl {
+		last = previous.factor
 	}
-	return f >= newsBy*before || before >= newsBy*f
+	return f >= changeFactor*last || last >= changeFactor*f
 }
 
-// Hear takes at now a word of another entry and says whether it is news.
-func (t *Table) Hear(now time.Time, w Word) bool {
-	return t.Learn(now, w.Target, w.Born, w.Factor, now.Add(-time.Duration(max(w.AgeMS, 0))*time.Millisecond))
+// Hear records an observation of another entry at now and reports whether it is to be sent on at
+// once.
+func (t *Table) Hear(now time.Time, o Word) bool {
+	return t.Learn(now, o.Target, o.Born, o.Factor, now.Add(-time.Duration(max(o.AgeMS, 0))*time.Millisecond))
 }
 
-// Factor returns the pace of a start of an engine at now; an earlier start of it says nothing.
+// Factor returns the factor of an engine at now; observations of an earlier start are ignored.
 func (t *Table) Factor(now time.Time, id pkid.TargetID, born pkid.Birth) Factor {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	one, known := t.said[id]
-	if !known || now.Sub(one.at) >= holdsFor || (one.born != 0 && one.born < born) {
+	o, known := t.byTarget[id]
+	if !known || now.Sub(o.at) >= ttl || (o.born != 0 && o.born < born) {
 		return Usual
 	}
-	return one.factor
+	return o.factor
 }
 
 // Slow returns how many engines are slow at now.
@@ -101,28 +103,28 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
-	for _, one := range t.said {
-		if now.Sub(one.at) < holdsFor && one.factor >= slowFrom {
+	for _, o := range t.byTarget {
+		if now.Sub(o.at) < ttl && o.factor >= slowThreshold {
 			n++
 		}
 	}
 	return n
 }
 
-// Words returns what the others are told at now, the slowest engines first, and forgets what is
-// too old.
+// Words returns the valid observations at now, the slowest engines first, and deletes the expired
+// ones.
 func (t *Table) Words(now time.Time) []Word {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Word
-	for id, one := range t.said {
-		age := now.Sub(one.at)
-		if age >= holdsFor {
-			delete(t.said, id)
+	for id, o := range t.byTarget {
+		age := now.Sub(o.at)
+		if age >= ttl {
+			delete(t.byTarget, id)
 			continue
 		}
-		out = append(out, Word{Target: id, Factor: one.factor, AgeMS: age.Milliseconds(), Born: one.born})
+		out = append(out, Word{Target: id, Factor: o.factor, AgeMS: age.Milliseconds(), Born: o.born})
 	}
 	slices.SortFunc(out, func(a, b Word) int { return cmp.Or(cmp.Compare(b.Factor, a.Factor), cmp.Compare(a.Target, b.Target)) })
-	return out[:min(len(out), mostWords)]
+	return out[:min(len(out), maxObservations)]
 }
--- a/pkpace/table_test.go
+++ b/pkpace/table_test.go
@@ -11,77 +11,76 @@
 	"peridotknot.example/pkid"
 )
 
-var start = time.Unix(1000, 0)
+var now = time.Unix(1000, 0)
 
-func TestAnEngineIsAsFastAsItLastSaid(t *testing.T) {
-	var p Table
-	assert.Equal(t, p.Factor(start, "e", 0), Usual)
-	assert.Assert(t, !p.Learn(start, "e", 0, 1.1, start), "sound engines scatter")
-	assert.Assert(t, p.Learn(start, "e", 0, 12, start))
-	assert.Equal(t, p.Factor(start, "e", 0), Factor(12))
-	later := start.Add(time.Second)
-	assert.Assert(t, !p.Learn(later, "e", 0, 11, later), "as slow as before")
-	assert.Assert(t, p.Learn(later.Add(1), "e", 0, 1, later.Add(1)), "sound again")
-	assert.Equal(t, p.Factor(later.Add(1), "e", 0), Usual)
+func TestFactorIsLatestObservation(t *testing.T) {
+	var table Table
+	assert.Equal(t, table.Factor(now, "e", 0), Usual)
+	assert.Assert(t, !table.Learn(now, "e", 0, 1.1, now), "healthy engines vary")
+	assert.Assert(t, table.Learn(now, "e", 0, 12, now))
+	assert.Equal(t, table.Factor(now, "e", 0), Factor(12))
+	later := now.Add(time.Second)
+	assert.Assert(t, !table.Learn(later, "e", 0, 11, later), "about as slow as before")
+	assert.Assert(t, table.Learn(later.Add(1), "e", 0, 1, later.Add(1)), "healthy again")
+	assert.Equal(t, table.Factor(later.Add(1), "e", 0), Usual)
 }
 
-// An engine was slow, the entries that asked it are gone, and nobody says any more how it is.
-// Passed over for good, it would be lost to the pool.
-func TestAWordIsForgotten(t *testing.T) {
-	var p Table
-	p.Learn(start, "e", 0, 12, start)
-	assert.Equal(t, p.Factor(start.Add(holdsFor), "e", 0), Usual)
-	assert.Equal(t, len(p.Words(start.Add(holdsFor))), 0)
-	assert.Equal(t, len(p.said), 0)
+// Guards against avoiding an engine for good after the entries that polled it are gone.
+func TestObservationExpires(t *testing.T) {
+	var table Table
+	table.Learn(now, "e", 0, 12, now)
+	assert.Equal(t, table.Factor(now.Add(ttl), "e", 0), Usual)
+	assert.Equal(t, len(table.Words(now.Add(ttl))), 0)
+	assert.Equal(t, len(table.byTarget), 0)
 }
 
-// An engine was slow, crashed, and came back sound. What its earlier start said is passed on by
-// entries that do not know of the crash yet.
-func TestAWordOfAnEarlierStartSaysNothing(t *testing.T) {
-	var p Table
-	p.Learn(start, "e", 5, 12, start)
-	assert.Equal(t, p.Factor(start, "e", 6), Usual)
-	later := start.Add(time.Millisecond)
-	p.Learn(later, "e", 6, 2, later)
-	assert.Assert(t, !p.Learn(later.Add(1), "e", 5, 12, later.Add(1)))
-	assert.Equal(t, p.Factor(later.Add(1), "e", 6), Factor(2))
+// Guards against avoiding a restarted engine for what its earlier start reported, which entries
+// that missed the restart still send.
+func TestObservationOfEarlierStartIsIgnored(t *testing.T) {
+	var table Table
+	table.Learn(now, "e", 5, 12, now)
+	assert.Equal(t, table.Factor(now, "e", 6), Usual)
+	later := now.Add(time.Millisecond)
+	table.Learn(later, "e", 6, 2, later)
+	assert.Assert(t, !table.Learn(later.Add(1), "e", 5, 12, later.Add(1)))
+	assert.Equal(t, table.Factor(later.Add(1), "e", 6), Factor(2))
 }
 
-// Two entries tell one another of an engine that nobody asks any more. Each message takes some
-// time, so what comes back looks a little younger than it is. The word must still end.
-func TestAWordThatGoesRoundEnds(t *testing.T) {
+// Guards against an observation that two entries keep alive by sending it back and forth, where the
+// age does not include the delay of each message.
+func TestGossipedObservationExpires(t *testing.T) {
 	var a, b Table
-	a.Learn(start, "e", 0, 12, start)
-	const every, way = 150 * time.Millisecond, 15 * time.Millisecond
-	now := start
-	for ; now.Sub(start) < 2*holdsFor; now = now.Add(every) {
-		for _, w := range a.Words(now) {
-			b.Hear(now.Add(way), w)
+	a.Learn(now, "e", 0, 12, now)
+	const interval, delay = 150 * time.Millisecond, 15 * time.Millisecond
+	at := now
+	for ; at.Sub(now) < 2*ttl; at = at.Add(interval) {
+		for _, o := range a.Words(at) {
+			b.Hear(at.Add(delay), o)
 		}
-		for _, w := range b.Words(now.Add(way)) {
-			a.Hear(now.Add(2*way), w)
+		for _, o := range b.Words(at.Add(delay)) {
+			a.Hear(at.Add(2*delay), o)
 		}
 	}
-	assert.Equal(t, a.Factor(now, "e", 0), Usual)
-	assert.Equal(t, b.Factor(now, "e", 0), Usual)
+	assert.Equal(t, a.Factor(at, "e", 0), Usual)
+	assert.Equal(t, b.Factor(at, "e", 0), Usual)
 }
 
-func TestWordsAreBounded(t *testing.T) {
-	var p Table
-	for i := range 4 * mostWords {
-		p.Learn(start, pkid.TargetID(fmt.Sprint(i)), 0, Factor(2+i), start)
+func TestObservationsAreBounded(t *testing.T) {
+	var table Table
+	for i := range 4 * maxObservations {
+		table.Learn(now, pkid.TargetID(fmt.Sprint(i)), 0, Factor(2+i), now)
 	}
-	words := p.Words(start.Add(time.Millisecond))
-	assert.Equal(t, len(words), mostWords)
-	assert.Equal(t, words[0].Factor, Factor(min(2+4*mostWords-1, int(mostFactor))))
+	observations := table.Words(now.Add(time.Millisecond))
+	assert.Equal(t, len(observations), maxObservations)
+	assert.Equal(t, observations[0].Factor, Factor(min(2+4*maxObservations-1, int(maxFactor))))
 }
 
-func TestWordsThatMakeNoSenseArePassedOver(t *testing.T) {
-	var p Table
+func TestInvalidObservationsAreIgnored(t *testing.T) {
+	var table Table
 	for _, f := range []Factor{0, -3, Factor(math.NaN())} {
-		assert.Assert(t, !p.Learn(start, "e", 0, f, start))
+		assert.Assert(t, !table.Learn(now, "e", 0, f, now))
 	}
-	assert.Assert(t, !p.Learn(start, "e", 0, 12, start.Add(time.Second)), "of a time to come")
-	p.Hear(start, Word{Target: "e", Factor: Factor(math.Inf(1)), AgeMS: -5})
-	assert.Equal(t, p.Factor(start, "e", 0), mostFactor)
+	assert.Assert(t, !table.Learn(now, "e", 0, 12, now.Add(time.Second)), "an observation from the future")
+	table.Hear(now, Word{Target: "e", Factor: Factor(math.Inf(1)), AgeMS: -5})
+	assert.Equal(t, table.Factor(now, "e", 0), maxFactor)
 }
