--- a/pkshare/delta.go
+++ b/pkshare/delta.go
@@ -8,32 +8,31 @@
 	"peridotknot.example/pkid"
 )
 
-// Grain returns by how many tokens times layers the load of a target must change to be told.
+// Grain returns the change in a target's load above which it is sent, in tokens times layers.
 type Grain func(pkid.TargetID) float64
 
-// told is what all receivers of one role were told of loads; the zero value is nothing.
+// sentLoads are the loads last sent to the receivers of one role; the zero value is none.
 //
-// A hub of a fleet of hundreds tells a hundred entries three times a second. Told of all loads each
-// time, it sent four megabytes a second; most loads change by a request or two, which decides
-// nothing. What was told is kept exactly as the receivers have it, so that a receiver which missed
-// something can be told all of it anew.
-type told struct {
+// A hub sends to a hundred entries several times a second, so small changes are not sent. The loads
+// are kept exactly as the receivers have them, and can be sent in full to one that missed an
+// update.
+type sentLoads struct {
 	loads map[pkid.TargetID]Load
 }
 
-// update takes what holds now and returns what the receivers must be told of it, in a fixed order.
-// A load of no tokens ends one.
-func (t *told) update(now []Load, grain Grain) []Load {
+// update returns the loads that changed by more than the threshold, in order of target, and records
+// them as sent. A load of zero tokens removes one.
+func (t *sentLoads) update(current []Load, threshold Grain) []Load {
 	if t.loads == nil {
 		t.loads = map[pkid.TargetID]Load{}
 	}
 	var changed []Load
-	seen := make(map[pkid.TargetID]bool, len(now))
-	for _, l := range now {
+	seen := make(map[pkid.TargetID]bool, len(current))
+	for _, l := range current {
 		seen[l.Target] = true
 		old := t.loads[l.Target]
-		moved := math.Abs(float64(l.Tokens) - float64(old.Tokens))
-		if moved > grain(l.Target) || l.Born != old.Born {
+		change := math.Abs(float64(l.Tokens) - float64(old.Tokens))
+		if change > threshold(l.Target) || l.Born != old.Born {
 			changed = append(changed, l)
 		}
 	}
@@ -53,8 +52,8 @@
 	return changed
 }
 
-// all returns what the receivers have, in a fixed order.
-func (t *told) all() []Load {
+// all returns the loads that the receivers have, in order of target.
+func (t *sentLoads) all() []Load {
 	out := make([]Load, 0, len(t.loads))
 	for _, l := range t.loads {
 		out = append(out, l)
@@ -63,7 +62,7 @@
 	return out
 }
 
-// merge returns loads with those that changed in their place; both are in order of the targets.
+// merge returns loads with the changed ones replaced; both are in order of target.
 func merge(loads, changed []Load) []Load {
 	out := make([]Load, 0, len(loads)+len(changed))
 	for len(loads) > 0 || len(changed) > 0 {
@@ -83,31 +82,31 @@
 	return out
 }
 
-// SumFor is a sum for the receivers of one role: by what changed since the last one, and whole for
-// a receiver that may lack some of that.
+// SumFor is an update of a sum for the receivers of one role: the changes since the last update,
+// and the whole sum for a receiver that may have missed one.
 type SumFor struct {
 	Changes Sum
 	Whole   Sum
 }
 
-// Tell returns what the receivers of a role are told of a sum, whose loads count as told from now
-// on where they changed by more than the grain.
-func (t *Table) Tell(role Role, s Sum, grain Grain) SumFor {
+// Tell returns the next update of a sum for the receivers of a role. Loads that changed by more
+// than the threshold count as sent.
+func (t *Table) Tell(role Role, s Sum, threshold Grain) SumFor {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	told := &t.toldSums[role]
+	sent := &t.sentSums[role]
 	out := SumFor{Changes: s, Whole: s}
-	out.Changes.Partial, out.Changes.Changed, out.Changes.Loads = true, told.update(s.Loads, grain), nil
-	out.Whole.Loads = told.all()
+	out.Changes.Partial, out.Changes.Changed, out.Changes.Loads = true, sent.update(s.Loads, threshold), nil
+	out.Whole.Loads = sent.all()
 	return out
 }
 
-// Again returns what the receivers of a role were told last, for one that hears between two sums.
+// Again returns an update without further changes, for messages between two sums.
 func (t *Table) Again(role Role, s Sum) SumFor {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := SumFor{Changes: s, Whole: s}
 	out.Changes.Partial, out.Changes.Changed, out.Changes.Loads = true, nil, nil
-	out.Whole.Loads = t.toldSums[role].all()
+	out.Whole.Loads = t.sentSums[role].all()
 	return out
 }
--- a/pkshare/delta_test.go
+++ b/pkshare/delta_test.go
@@ -12,13 +12,13 @@
 	"peridotknot.example/pkid"
 )
 
-const testGrain = 100
+const testThreshold = 100
 
-func grain(pkid.TargetID) float64 { return testGrain }
+func threshold(pkid.TargetID) float64 { return testThreshold }
 
-// Loads come, change and end, a receiver loses its connection now and then and is told all anew.
-// At each moment it must have each load to within the grain, and nothing that has ended.
-func TestReceiversHaveEachLoadToWithinTheGrain(t *testing.T) {
+// Guards against receivers that keep ended loads or differ by more than the threshold, across
+// reconnects and repeated sums.
+func TestReceiverLoadsStayWithinThreshold(t *testing.T) {
 	for seed := range uint64(60) {
 		r := rand.New(rand.NewPCG(seed, 5))
 		var hub, entry Table
@@ -38,49 +38,49 @@
 			for id, tokens := range truth {
 				s.Loads = append(s.Loads, Load{Target: id, Tokens: float32(tokens)})
 			}
-			tell := hub.Tell(OfHub, s, grain)
-			said := tell.Changes
+			update := hub.Tell(OfHub, s, threshold)
+			message := update.Changes
 			if round == 0 || r.IntN(10) == 0 {
-				said = tell.Whole // over a new connection
+				message = update.Whole // on a new connection
 			}
 			if r.IntN(10) == 0 {
-				said = hub.Again(OfHub, s).Whole // and once more before the next sum
+				message = hub.Again(OfHub, s).Whole // repeated before the next sum
 			}
 			sequence++
 			now := time.Unix(1000, 0).Add(time.Duration(round) * EveryWithHubs)
-			assert.Assert(t, entry.Hear(now, Message{From: "hub", Run: 1, Sequence: sequence, Sum: &said}))
+			assert.Assert(t, entry.Hear(now, Message{From: "hub", Run: 1, Sequence: sequence, Sum: &message}))
 			got := entry.Others(now, 3, nil)
 			for id, l := range got {
-				_, lives := truth[id]
-				assert.Assert(t, lives, "seed %d: %s has ended", seed, id)
-				assert.Assert(t, math.Abs(l.Tokens-truth[id]) <= testGrain+1, "seed %d: %s holds %f, not %f", seed, id, truth[id], l.Tokens)
+				_, exists := truth[id]
+				assert.Assert(t, exists, "seed %d: %s has ended", seed, id)
+				assert.Assert(t, math.Abs(l.Tokens-truth[id]) <= testThreshold+1, "seed %d: tokens of %s: want %f, got %f", seed, id, truth[id], l.Tokens)
 			}
 			for id, tokens := range truth {
-				assert.Assert(t, got[id].Tokens > 0 || tokens <= testGrain+1, "seed %d: %s holds %f", seed, id, tokens)
+				assert.Assert(t, got[id].Tokens > 0 || tokens <= testThreshold+1, "seed %d: %s with %f tokens is missing", seed, id, tokens)
 			}
 		}
 	}
 }
 
-// A hub tells a hundred entries. Loads that change by a request or two are not told, so that what
-// it sends grows with what changes and not with the pool.
-func TestSmallChangesAreNotTold(t *testing.T) {
+// The traffic of a hub must grow with the number of changed loads and not with the size of the
+// pool.
+func TestSmallChangesAreNotSent(t *testing.T) {
 	var hub Table
 	s := Sum{All: true}
 	for i := range 1000 {
 		s.Loads = append(s.Loads, Load{Target: pkid.TargetID(fmt.Sprintf("%04d", i)), Tokens: 5000})
 	}
-	assert.Equal(t, len(hub.Tell(OfHub, s, grain).Changes.Changed), 1000)
+	assert.Equal(t, len(hub.Tell(OfHub, s, threshold).Changes.Changed), 1000)
 	for i := range s.Loads {
-		s.Loads[i].Tokens += testGrain / 2
+		s.Loads[i].Tokens += testThreshold / 2
 	}
-	s.Loads[7].Tokens += testGrain
-	assert.Equal(t, len(hub.Tell(OfHub, s, grain).Changes.Changed), 1)
-	assert.Equal(t, len(hub.Tell(FarHub, s, grain).Changes.Changed), 1000, "other receivers")
+	s.Loads[7].Tokens += testThreshold
+	assert.Equal(t, len(hub.Tell(OfHub, s, threshold).Changes.Changed), 1)
+	assert.Equal(t, len(hub.Tell(FarHub, s, threshold).Changes.Changed), 1000, "other receivers")
 }
 
-// A hub starts again. What its earlier run told must not stand beside what the new one tells.
-func TestAHubThatStartsAgainTellsAllAnew(t *testing.T) {
+// Loads of a hub's earlier run must not be kept beside those of its new run.
+func TestRestartedHubReplacesItsLoads(t *testing.T) {
 	var entry Table
 	now := time.Unix(1000, 0)
 	first := Sum{All: true, Entries: 2, Loads: []Load{{Target: "a", Tokens: 7}}}
--- a/pkshare/doc.go
+++ b/pkshare/doc.go
@@ -1,7 +1,7 @@
-// Package pkshare decides what entries tell one another and what each makes of it.
+// Package pkshare implements the exchange of state between entries, the router's own nodes.
 //
-// Each entry sends all others what its own requests hold, several times a second,
-// and what it knows of the configuration and the list of replicas. An entry that
-// the store turns away is told what it misses by one that knows more. Messages are
-// whole: one that is lost costs nothing but time.
+// Several times a second each entry sends the others the load of its own requests and the store
+// revisions of its configuration and replica list. An entry that the store does not serve is
+// brought up to date by its peers. Messages carry full state, or deltas from a hub, which sends
+// full state on a new connection; a lost message only delays an update.
 package pkshare
--- a/pkshare/hub.go
+++ b/pkshare/hub.go
@@ -9,62 +9,59 @@
 )
 
 const (
-	// flatMost is from how many others on entries tell hubs and not one another. Each tells all
-	// others seven times a second, so the work of an entry grows with their count:
-	// at 69 entries it was 470 messages a second each way, and two thirds of them
-	// crossed between data centres.
-	flatMost = 12
-	// hubsEach is how many hubs a data centre has: one may fail unnoticed.
-	hubsEach = 2
-	// hubGrace is how long a hub may take to be heard of before another takes its
-	// place: it must first see that it is one, connect, and hear its members.
+	// hubThreshold is the number of other entries at which entries send to hubs instead of to one
+	// another, since the work of an entry in a full mesh grows with their number.
+	hubThreshold = 12
+	// hubsPerDataCenter is the number of hubs in a data centre. One may fail without a gap in
+	// updates.
+	hubsPerDataCenter = 2
+	// hubGrace is how long a hub may take to send its first message before another replaces it. It
+	// must first learn its role, connect, and receive from its entries.
 	hubGrace = 3 * time.Second
-	// hubAway is how long a hub that was not heard of is passed over.
-	hubAway = 10 * time.Second
+	// hubExclusion is how long a hub that was not heard from is excluded.
+	hubExclusion = 10 * time.Second
 )
 
-// Member is an entry as the others know it.
+// Member describes an entry to the others.
 type Member struct {
 	ID         pkid.EntryID    `json:"id"`
 	Addr       string          `json:"addr"`
 	DataCenter pkid.DataCenter `json:"data_center"`
-	// ProcessorShare is how much of a processor its VM has.
+	// ProcessorShare is the share of a processor that its VM has.
 	ProcessorShare float64 `json:"processor_share"`
 }
 
-// Role is what an entry is to another, and so what it tells it.
+// Role is the role of another entry relative to this one, which decides what it is sent.
 type Role uint8
 
-// Roles. Without hubs all entries are peers of one another.
+// Roles of other entries. Without hubs all of them are peers.
 const (
-	// Peer is told what this entry holds.
+	// Peer is sent the loads of this entry.
 	Peer Role = iota
-	// OfHub is told by its hub what all entries hold.
+	// OfHub is an entry that this hub serves; it is sent the sum over all entries.
 	OfHub
-	// FarHub is the hub of another data centre; it is told what the entries of this
-	// one hold.
+	// FarHub is a hub of another data centre; it is sent the sum over the entries of this one.
 	FarHub
 )
 
-// roles is how many roles there are.
-const roles = int(FarHub) + 1
+const roleCount = int(FarHub) + 1
 
-// WithHubs says whether so many entries tell hubs and not one another.
-func WithHubs(others int) bool { return others >= flatMost }
+// WithHubs reports whether entries use hubs where there are that many others.
+func WithHubs(others int) bool { return others >= hubThreshold }
 
-// IsFirst says whether this entry is among the first of its data centre at now, those that
-// are hubs where there are hubs.
+// IsFirst reports whether this entry is one of the designated entries of its data centre at now.
+// They are its hubs where there are hubs.
 func (t *Table) IsFirst(now time.Time, self Member, others []Member) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Contains(t.hubs(now, self, append(slices.Clone(others), self), self.DataCenter), self.ID)
 }
 
-// Roles returns the other entries that this one tells at now, by address.
+// Roles returns the other entries that this one sends to at now, by address.
 //
-// Few entries tell all others. Many tell the hubs of their data centre, which add up
-// what they hear, tell the sum to the hubs of the others, and tell the sum of all to
-// their own entries.
+// In a small fleet each entry sends to all others. In a large one it sends to the hubs of its data
+// centre. These add up the loads, send the sum to the hubs of other data centres, and send the sum
+// over all to their own entries.
 func (t *Table) Roles(now time.Time, self Member, others []Member) map[string]Role {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -76,11 +73,11 @@
 		return out
 	}
 	all := append(slices.Clone(others), self)
-	near := t.hubs(now, self, all, self.DataCenter)
-	isHub := slices.Contains(near, self.ID)
+	local := t.hubs(now, self, all, self.DataCenter)
+	isHub := slices.Contains(local, self.ID)
 	for _, m := range others {
 		switch {
-		case m.DataCenter == self.DataCenter && slices.Contains(near, m.ID):
+		case m.DataCenter == self.DataCenter && slices.Contains(local, m.ID):
 			out[m.Addr] = Peer
 		case m.DataCenter == self.DataCenter && isHub:
 			out[m.Addr] = OfHub
@@ -91,18 +88,17 @@
 	return out
 }
 
-// hubs returns the hubs of a data centre as this entry sees them: the entries with the
-// most processor, first by name, but for those that were not heard of when they
-// should have been. Entries that lose a hub all pass it over by themselves, and so
-// does the one that takes its place.
+// hubs returns the hubs of a data centre as this entry sees them: those with the largest processor
+// share, then the lowest ID, without silent ones. Each entry excludes a silent hub on its own, and
+// so does the one that replaces it.
 func (t *Table) hubs(now time.Time, self Member, all []Member, dc pkid.DataCenter) []pkid.EntryID {
-	near := slices.DeleteFunc(slices.Clone(all), func(m Member) bool { return m.DataCenter != dc })
-	slices.SortFunc(near, func(a, b Member) int {
+	local := slices.DeleteFunc(slices.Clone(all), func(m Member) bool { return m.DataCenter != dc })
+	slices.SortFunc(local, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(b.ProcessorShare, a.ProcessorShare), cmp.Compare(a.ID, b.ID))
 	})
 	var out []pkid.EntryID
-	for _, m := range near {
-		if len(out) == hubsEach {
+	for _, m := range local {
+		if len(out) == hubsPerDataCenter {
 			break
 		}
 		if m.ID == self.ID || !t.isSilent(now, m.ID) {
@@ -112,85 +108,85 @@
 	return out
 }
 
-// isSilent says whether an entry that is expected to be a hub was not heard of.
+// isSilent reports whether an entry that is expected to be a hub has not been heard from.
 func (t *Table) isSilent(now time.Time, id pkid.EntryID) bool {
-	if p := t.peers[id]; p != nil && now.Sub(p.at) < freshFor {
-		delete(t.awaited, id)
+	if p := t.peers[id]; p != nil && now.Sub(p.heardAt) < staleAfter {
+		delete(t.expectedSince, id)
 		return false
 	}
-	if t.awaited == nil {
-		t.awaited = map[pkid.EntryID]time.Time{}
+	if t.expectedSince == nil {
+		t.expectedSince = map[pkid.EntryID]time.Time{}
 	}
-	since, known := t.awaited[id]
-	if !known || now.Sub(since) >= hubGrace+hubAway {
-		t.awaited[id] = now
+	since, known := t.expectedSince[id]
+	if !known || now.Sub(since) >= hubGrace+hubExclusion {
+		t.expectedSince[id] = now
 		return false
 	}
 	return now.Sub(since) >= hubGrace
 }
 
-// Sum is what several entries hold together.
+// Sum is the total load of several entries.
 type Sum struct {
-	// All says that these are all entries; else they are those of the sender's data
+	// All says that the sum covers all entries; otherwise it covers those of the sender's data
 	// centre.
 	All bool `cbor:"1,keyasint"`
-	// Entries is how many were heard of.
+	// Entries is the number of entries in the sum.
 	Entries int    `cbor:"2,keyasint"`
 	Loads   []Load `cbor:"3,keyasint,omitempty"`
 	Flows   []Flow `cbor:"4,keyasint,omitempty"`
-	// Partial says that Loads stand as they were told before but for those in Changed, of which one
-	// of no tokens ends. Entries of earlier builds take the loads for none meanwhile.
+	// Partial says that the loads sent before remain, except for those in Changed, where zero
+	// tokens remove one. Earlier builds skip both fields and see no loads until the next full sum.
 	Partial bool   `cbor:"5,keyasint,omitempty"`
 	Changed []Load `cbor:"6,keyasint,omitempty"`
 }
 
-// Sums returns what the entries of this one's data centre hold together, this one
-// among them, and what all entries hold, as far as they are heard of at now.
-func (t *Table) Sums(now time.Time, own Message) (near, all Sum) {
+// Sums returns the sum over the entries of this one's data centre and the sum over all entries.
+// Both include this entry, and others whose last message is not stale at now.
+func (t *Table) Sums(now time.Time, own Message) (local, global Sum) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	a := newAdder()
+	a := newAccumulator()
 	a.add(1, own.Loads, own.Flows)
 	for _, p := range t.peers {
-		if now.Sub(p.at) < freshFor && p.sum == nil && p.dataCenter == own.DataCenter {
+		if now.Sub(p.heardAt) < staleAfter && p.sum == nil && p.dataCenter == own.DataCenter {
 			a.add(1, p.loads, p.flows)
 		}
 	}
-	near = a.sum(false)
-	for _, p := range t.farSums(now) {
+	local = a.sum(false)
+	for _, p := range t.remoteSums(now) {
 		a.add(p.sum.Entries, p.sum.Loads, p.sum.Flows)
 	}
-	return near, a.sum(true)
+	return local, a.sum(true)
 }
 
-// singles calls do for each entry that speaks for itself and is in no sum.
-func (t *Table) singles(now time.Time, sums map[pkid.DataCenter]*peer, do func(*peer)) {
+// forEachDirect calls do for each live peer that sends its own loads and is in no sum.
+func (t *Table) forEachDirect(now time.Time, sums map[pkid.DataCenter]*peer, do func(*peer)) {
 	for _, p := range t.peers {
-		if now.Sub(p.at) < freshFor && p.sum == nil && sums[p.dataCenter] == nil {
+		if now.Sub(p.heardAt) < staleAfter && p.sum == nil && sums[p.dataCenter] == nil {
 			do(p)
 		}
 	}
 }
 
-// farSums returns the newest sum of each other data centre.
-func (t *Table) farSums(now time.Time) map[pkid.DataCenter]*peer {
+// remoteSums returns the newest sum of each other data centre.
+func (t *Table) remoteSums(now time.Time) map[pkid.DataCenter]*peer {
 	out := map[pkid.DataCenter]*peer{}
 	for _, p := range t.peers {
-		if p.sum == nil || p.sum.All || now.Sub(p.at) >= freshFor {
+		if p.sum == nil || p.sum.All || now.Sub(p.heardAt) >= staleAfter {
 			continue
 		}
-		if old := out[p.dataCenter]; old == nil || p.at.After(old.at) {
+		if old := out[p.dataCenter]; old == nil || p.heardAt.After(old.heardAt) {
 			out[p.dataCenter] = p
 		}
 	}
 	return out
 }
 
-// sumOfAll returns the newest sum of all entries, or nil.
-func (t *Table) sumOfAll(now time.Time) *Sum {
+// globalSum returns the newest sum over all entries, or nil.
+func (t *Table) globalSum(now time.Time) *Sum {
 	var best *peer
 	for _, p := range t.peers {
-		if p.sum != nil && p.sum.All && now.Sub(p.at) < freshFor && (best == nil || p.at.After(best.at)) {
+		if p.sum != nil && p.sum.All && now.Sub(p.heardAt) < staleAfter && (best == nil || p.heardAt.After(best.heardAt)) {
 			best = p
 		}
 	}
@@ -200,30 +196,30 @@
 	return best.sum
 }
 
-// gather adds up what all other entries hold. A sum of all holds what this entry last
-// told, which is taken off.
-func (t *Table) gather(now time.Time) *adder {
-	a := newAdder()
-	if all := t.sumOfAll(now); all != nil {
-		a.add(all.Entries-1, all.Loads, all.Flows)
-		a.takeOff(t.told)
+// addOthers adds up the loads of all other entries. A global sum contains what this entry last
+// sent, which is subtracted.
+func (t *Table) addOthers(now time.Time) *accumulator {
+	a := newAccumulator()
+	if global := t.globalSum(now); global != nil {
+		a.add(global.Entries-1, global.Loads, global.Flows)
+		a.subtract(t.lastSent)
 		return a
 	}
-	sums := t.farSums(now)
-	t.singles(now, sums, func(p *peer) { a.add(1, p.loads, p.flows) })
+	sums := t.remoteSums(now)
+	t.forEachDirect(now, sums, func(p *peer) { a.add(1, p.loads, p.flows) })
 	for _, p := range sums {
 		a.add(p.sum.Entries, p.sum.Loads, p.sum.Flows)
 	}
 	return a
 }
 
-// gatherFlow adds up the tokens of all other entries between two data centres.
-func (t *Table) gatherFlow(now time.Time, pair [2]pkid.DataCenter) (tokens float64, heard int) {
-	if all := t.sumOfAll(now); all != nil {
-		return max(flowOf(all.Flows, pair)-flowOf(t.told.Flows, pair), 0), all.Entries - 1
+// othersFlow adds up the tokens of all other entries in flight between two data centres.
+func (t *Table) othersFlow(now time.Time, pair [2]pkid.DataCenter) (tokens float64, heard int) {
+	if global := t.globalSum(now); global != nil {
+		return max(flowOf(global.Flows, pair)-flowOf(t.lastSent.Flows, pair), 0), global.Entries - 1
 	}
-	sums := t.farSums(now)
-	t.singles(now, sums, func(p *peer) {
+	sums := t.remoteSums(now)
+	t.forEachDirect(now, sums, func(p *peer) {
 		tokens += flowOf(p.flows, pair)
 		heard++
 	})
@@ -244,25 +240,25 @@
 	return sum
 }
 
-// Told notes what this entry told its hubs.
+// Told records the message that this entry last sent to its hubs.
 func (t *Table) Told(m Message) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.told = m
+	t.lastSent = m
 }
 
-// adder adds up loads and flows of entries.
-type adder struct {
+// accumulator adds up the loads and flows of entries.
+type accumulator struct {
 	entries int
 	loads   map[pkid.TargetID]Load
 	flows   map[[2]pkid.DataCenter]float32
 }
 
-func newAdder() *adder {
-	return &adder{loads: map[pkid.TargetID]Load{}, flows: map[[2]pkid.DataCenter]float32{}}
+func newAccumulator() *accumulator {
+	return &accumulator{loads: map[pkid.TargetID]Load{}, flows: map[[2]pkid.DataCenter]float32{}}
 }
 
-func (a *adder) add(entries int, loads []Load, flows []Flow) {
+func (a *accumulator) add(entries int, loads []Load, flows []Flow) {
 	a.entries += entries
 	for _, l := range loads {
 		a.loads[l.Target] = a.loads[l.Target].plus(l)
@@ -272,9 +268,9 @@
 	}
 }
 
-// plus adds a load of the same target; of two that speak of different starts the later counts.
+// plus adds a load on the same target. If they are of different starts of it, the later start wins.
 func (l Load) plus(other Load) Load {
-	if otherStart(l, other) {
+	if differentStart(l, other) {
 		if l.Born > other.Born {
 			return l
 		}
@@ -286,12 +282,12 @@
 	}
 }
 
-// otherStart says whether two loads are known to be of different starts of a target.
-func otherStart(a, b Load) bool { return a.Born != 0 && b.Born != 0 && a.Born != b.Born }
+// differentStart reports whether two loads are known to be on different starts of a target.
+func differentStart(a, b Load) bool { return a.Born != 0 && b.Born != 0 && a.Born != b.Born }
 
-func (a *adder) takeOff(m Message) {
+func (a *accumulator) subtract(m Message) {
 	for _, l := range m.Loads {
-		if sum, found := a.loads[l.Target]; found && !otherStart(sum, l) {
+		if sum, found := a.loads[l.Target]; found && !differentStart(sum, l) {
 			sum.Requests, sum.Tokens = max(sum.Requests-l.Requests, 0), max(sum.Tokens-l.Tokens, 0)
 			a.loads[l.Target] = sum
 		}
@@ -302,8 +298,8 @@
 	}
 }
 
-// sum returns what was added, in a fixed order.
-func (a *adder) sum(all bool) Sum {
+// sum returns the totals in a fixed order.
+func (a *accumulator) sum(all bool) Sum {
 	out := Sum{All: all, Entries: a.entries}
 	for _, l := range a.loads {
 		out.Loads = append(out.Loads, l)
--- a/pkshare/hub_test.go
+++ b/pkshare/hub_test.go
@@ -13,15 +13,15 @@
 	"peridotknot.example/pkstore"
 )
 
-// fleet is entries that tell one another by their roles, each round at once.
+// fleet simulates entries that exchange messages by role, one round at a time.
 type fleet struct {
 	now     time.Time
 	members []Member
 	tables  map[pkid.EntryID]*Table
 	dead    map[pkid.EntryID]bool
 	round   uint64
-	// told counts messages by sender in the last round.
-	told map[pkid.EntryID]int
+	// sent counts the messages of the last round by sender.
+	sent map[pkid.EntryID]int
 }
 
 func newFleet(dataCenters, each int) *fleet {
@@ -50,11 +50,11 @@
 	return out
 }
 
-// say is one round: each entry holds one request of 10 tokens.
-func (f *fleet) say() {
+// runRound runs one round in which each entry holds one request of 10 tokens.
+func (f *fleet) runRound() {
 	f.round++
 	f.now = f.now.Add(EveryWithHubs)
-	f.told = map[pkid.EntryID]int{}
+	f.sent = map[pkid.EntryID]int{}
 	type message struct {
 		to pkid.EntryID
 		m  Message
@@ -68,18 +68,18 @@
 		own := Message{From: self.ID, Addr: self.Addr, DataCenter: self.DataCenter, Run: 1, Sequence: f.round}
 		own.Loads = []Load{{Target: "t", Requests: 1, Tokens: 10}}
 		own.Flows = []Flow{{A: "a", B: "b", Tokens: 10}}
-		near, sum := t.Sums(f.now, own)
+		local, global := t.Sums(f.now, own)
 		t.Told(own)
 		for addr, role := range t.Roles(f.now, self, f.others(self.ID)) {
 			m := own
 			switch role {
 			case OfHub:
-				m.Loads, m.Flows, m.Sum = nil, nil, &sum
+				m.Loads, m.Flows, m.Sum = nil, nil, &global
 			case FarHub:
-				m.Loads, m.Flows, m.Sum = nil, nil, &near
+				m.Loads, m.Flows, m.Sum = nil, nil, &local
 			case Peer:
 			}
-			f.told[self.ID]++
+			f.sent[self.ID]++
 			all = append(all, message{pkid.EntryID(addr), m})
 		}
 	}
@@ -92,7 +92,7 @@
 
 func (f *fleet) live() int { return len(f.members) - len(f.dead) }
 
-// check checks that each live entry knows what all others hold.
+// check checks that each live entry knows the load of all others.
 func (f *fleet) check(t *testing.T) {
 	t.Helper()
 	own := map[pkid.TargetID]pkreplica.Load{"t": {Requests: 1, Tokens: 10}}
@@ -102,112 +102,108 @@
 			continue
 		}
 		got := f.tables[m.ID].Others(f.now, f.live(), own)["t"].Tokens
-		assert.Assert(t, math.Abs(got-want) < 0.5, "%s takes others to hold %v, they hold %v", m.ID, got, want)
+		assert.Assert(t, math.Abs(got-want) < 0.5, "%s: tokens of others: got %v, want %v", m.ID, got, want)
 		flow := f.tables[m.ID].Flow(f.now, f.live(), "b", "a", 10)
-		assert.Assert(t, math.Abs(flow-want) < 0.5, "%s: %v between data centres, not %v", m.ID, flow, want)
+		assert.Assert(t, math.Abs(flow-want) < 0.5, "%s: tokens between data centres: got %v, want %v", m.ID, flow, want)
 	}
 }
 
-func TestAllKnowWhatAllHold(t *testing.T) {
-	for _, row := range []struct{ dataCenters, each, most int }{
+func TestLoadsReachAllEntries(t *testing.T) {
+	for _, row := range []struct{ dataCenters, each, maxSends int }{
 		{3, 3, 8}, {3, 4, 11}, {2, 7, 8}, {3, 23, 26}, {4, 21, 26}, {17, 22, 54},
 	} {
 		f := newFleet(row.dataCenters, row.each)
 		for range 4 {
-			f.say()
+			f.runRound()
 		}
 		f.check(t)
-		for id, n := range f.told {
-			assert.Assert(t, n <= row.most, "%d x %d: %s tells %d", row.dataCenters, row.each, id, n)
+		for id, n := range f.sent {
+			assert.Assert(t, n <= row.maxSends, "%d x %d: %s sends to %d entries", row.dataCenters, row.each, id, n)
 		}
 	}
 }
 
-// A hub dies, later the other one too. Its entries hear nothing and would take the pool
-// to hold what they hold themselves, times the fleet: some engines would get the callers
-// of all. Others must take the hubs' place by themselves, with no word from the store.
-func TestHubsAreReplacedBySilence(t *testing.T) {
+// Entries without hubs would extrapolate the load of the fleet from their own and crowd on some
+// engines. Failed hubs must be replaced without the store.
+func TestSilentHubsAreReplaced(t *testing.T) {
 	f := newFleet(3, 10)
 	for range 4 {
-		f.say()
+		f.runRound()
 	}
 	for _, id := range []pkid.EntryID{"a-08", "a-09", "b-09"} {
 		f.dead[id] = true
-		for range int((hubGrace+freshFor)/EveryWithHubs) + 5 {
-			f.say()
+		for range int((hubGrace+staleAfter)/EveryWithHubs) + 5 {
+			f.runRound()
 		}
 		f.check(t)
 	}
 }
 
-// A hub that was passed over comes back and is one again.
-func TestAHubComesBack(t *testing.T) {
+// An excluded hub must be used again once it recovers.
+func TestRecoveredHubIsUsedAgain(t *testing.T) {
 	f := newFleet(2, 8)
 	for range 4 {
-		f.say()
+		f.runRound()
 	}
 	f.dead["a-07"] = true
 	for range 20 {
-		f.say()
+		f.runRound()
 	}
 	delete(f.dead, "a-07")
-	for range int((hubGrace+hubAway)/EveryWithHubs) + 5 {
-		f.say()
+	for range int((hubGrace+hubExclusion)/EveryWithHubs) + 5 {
+		f.runRound()
 	}
 	f.check(t)
-	assert.Assert(t, f.told["a-07"] > hubsEach)
+	assert.Assert(t, f.sent["a-07"] > hubsPerDataCenter)
 }
 
-// A hub knows only what its own entries know, so it cannot leave it to others to help
-// one of them. They follow no list themselves, so it tells them at once, and again if
-// its word was lost.
-func TestHubsHelpWhateverOthersKnow(t *testing.T) {
+// Entries with hubs do not watch the replica list. A hub must send it to one that lags at once,
+// whatever others know, and again if the message was lost.
+func TestHubsSendCatchUpWhateverOthersKnow(t *testing.T) {
 	var table Table
 	for i := range 4 {
-		table.Hear(start, said(pkid.EntryID(fmt.Sprint("a-", i)), 1, 9, 1))
+		table.Hear(start, newMessage(pkid.EntryID(fmt.Sprint("a-", i)), 1, 9, 1))
 	}
-	table.Hear(start, said("late", 1, 5, 1))
+	table.Hear(start, newMessage("late", 1, 5, 1))
 	k := Known{Self: "hub", Config: 9, List: 9, Hub: true}
 	list := Help{List: true, After: pkstore.Revision(5)}
 	assert.Equal(t, table.Misses(start, "late", k), list)
-	later := start.Add(missesFor)
+	later := start.Add(catchUpDelay)
 	assert.Equal(t, table.Misses(later, "late", k), Help{Config: true})
 	assert.Equal(t, table.Misses(later, "late", k), Help{})
-	table.Hear(start.Add(tellAgain), said("late", 2, 5, 1))
-	assert.Equal(t, table.Misses(start.Add(tellAgain), "late", k), list)
+	table.Hear(start.Add(catchUpRetry), newMessage("late", 2, 5, 1))
+	assert.Equal(t, table.Misses(start.Add(catchUpRetry), "late", k), list)
 }
 
-// Hubs tell of the list only while they follow it. One that lost the store, or that was
-// not heard of for long, leaves its entries to follow by themselves.
-func TestEntriesAreLedByHubsThatFollow(t *testing.T) {
+// Entries must watch the replica list themselves if no live hub watches it for them.
+func TestOnlyWatchingHubsServeEntries(t *testing.T) {
 	var table Table
-	hub := said("hub", 1, 9, 1)
+	hub := newMessage("hub", 1, 9, 1)
 	assert.Assert(t, !table.Led(start))
 	hub.Following = true
 	table.Hear(start, hub)
-	assert.Assert(t, !table.Led(start), "it speaks for itself only")
+	assert.Assert(t, !table.Led(start), "it sent no sum over all entries")
 	hub.Sequence, hub.Sum = 2, &Sum{All: true}
 	table.Hear(start, hub)
-	assert.Assert(t, !table.Led(start), "it does not say how many members there are")
+	assert.Assert(t, !table.Led(start), "it did not report the number of members")
 	hub.Sequence, hub.Members = 3, 78
 	table.Hear(start, hub)
 	assert.Assert(t, table.Led(start))
 	assert.Equal(t, table.MembersTold(start), 78)
-	assert.Assert(t, !table.Led(start.Add(freshFor)))
-	assert.Equal(t, table.MembersTold(start.Add(freshFor)), 0)
+	assert.Assert(t, !table.Led(start.Add(staleAfter)))
+	assert.Equal(t, table.MembersTold(start.Add(staleAfter)), 0)
 	hub.Sequence, hub.Following = 4, false
 	table.Hear(start, hub)
 	assert.Assert(t, !table.Led(start))
 }
 
-// What is done once or twice for a data centre, such as holding connections to its engines,
-// is done by its first entries, in fleets with hubs and without. When they fall silent others
-// take it over, or nobody would.
-func TestTheFirstEntriesOfEachDataCenter(t *testing.T) {
+// Work that is done once or twice per data centre must be taken over when a designated entry fails,
+// in fleets with hubs and without.
+func TestDesignatedEntriesOfEachDataCenter(t *testing.T) {
 	for _, each := range []int{1, 3, 30} {
 		f := newFleet(2, each)
-		f.say()
-		first := func() map[pkid.DataCenter][]pkid.EntryID {
+		f.runRound()
+		designated := func() map[pkid.DataCenter][]pkid.EntryID {
 			out := map[pkid.DataCenter][]pkid.EntryID{}
 			for _, m := range f.members {
 				if !f.dead[m.ID] && f.tables[m.ID].IsFirst(f.now, m, f.others(m.ID)) {
@@ -216,34 +212,33 @@
 			}
 			return out
 		}
-		before := first()
+		before := designated()
 		for _, dc := range []pkid.DataCenter{"a", "b"} {
-			assert.Equal(t, len(before[dc]), min(each, hubsEach), "%d entries", each)
+			assert.Equal(t, len(before[dc]), min(each, hubsPerDataCenter), "%d entries", each)
 		}
-		if each <= hubsEach {
+		if each <= hubsPerDataCenter {
 			continue
 		}
 		f.dead = map[pkid.EntryID]bool{before["a"][0]: true}
 		for range int(2*hubGrace/EveryWithHubs) + 1 {
-			f.say()
-			first()
+			f.runRound()
+			designated()
 		}
-		assert.Equal(t, len(first()["a"]), hubsEach, "%d entries", each)
+		assert.Equal(t, len(designated()["a"]), hubsPerDataCenter, "%d entries", each)
 	}
 }
 
-// An engine has started again under its id, and some entries do not know yet. What requests
-// held of its earlier start must not be added to what they hold of the present one, nor taken
-// off it: the engine would count as half full, or as empty.
-func TestLoadsOfAnEarlierStartAreNotAddedUp(t *testing.T) {
-	a := newAdder()
+// Loads on an earlier start of an engine must neither be added to those on the present one nor
+// subtracted from them: the engine would seem half full, or empty.
+func TestLoadsOfAnEarlierStartAreNotCounted(t *testing.T) {
+	a := newAccumulator()
 	a.add(1, []Load{{Target: "t", Requests: 5, Tokens: 50, Born: 100}}, nil)
 	a.add(1, []Load{{Target: "t", Requests: 2, Tokens: 20, Born: 200}}, nil)
 	a.add(1, []Load{{Target: "t", Requests: 7, Tokens: 70, Born: 100}}, nil)
 	a.add(1, []Load{{Target: "t", Requests: 1, Tokens: 10}}, nil)
 	assert.DeepEqual(t, a.sum(true).Loads, []Load{{Target: "t", Requests: 3, Tokens: 30, Born: 200}})
-	a.takeOff(Message{Loads: []Load{{Target: "t", Requests: 2, Tokens: 20, Born: 100}}})
+	a.subtract(Message{Loads: []Load{{Target: "t", Requests: 2, Tokens: 20, Born: 100}}})
 	assert.DeepEqual(t, a.sum(true).Loads, []Load{{Target: "t", Requests: 3, Tokens: 30, Born: 200}})
-	a.takeOff(Message{Loads: []Load{{Target: "t", Requests: 1, Tokens: 10, Born: 200}}})
+	a.subtract(Message{Loads: []Load{{Target: "t", Requests: 1, Tokens: 10, Born: 200}}})
 	assert.DeepEqual(t, a.sum(true).Loads, []Load{{Target: "t", Requests: 2, Tokens: 20, Born: 200}})
 }
--- a/pkshare/message.go
+++ b/pkshare/message.go
@@ -9,85 +9,86 @@
 	"peridotknot.example/pkstore"
 )
 
-// Message is what one entry tells another.
+// Message is the state that one entry sends to another.
 type Message struct {
 	From pkid.EntryID `cbor:"1,keyasint"`
-	// Addr is where the sender takes messages.
+	// Addr is where the sender accepts messages.
 	Addr string `cbor:"2,keyasint"`
-	// Run tells one run of an entry from the next.
+	// Run identifies one process run of the sender.
 	Run uint64 `cbor:"3,keyasint"`
-	// Sequence grows with each message of a run.
+	// Sequence increases with each message of a run.
 	Sequence uint64 `cbor:"4,keyasint"`
-	// Config and List are the store's revisions that the sender knows.
+	// Config and List are the store revisions of the sender's configuration and replica list.
 	Config pkstore.Revision `cbor:"5,keyasint"`
 	List   pkstore.Revision `cbor:"6,keyasint"`
-	// Loads are what the sender's requests hold, of targets where that is anything.
+	// Loads are the sender's loads, without targets on which it has none.
 	Loads []Load `cbor:"7,keyasint,omitempty"`
-	// Flows are tokens on their way between data centres.
+	// Flows are the sender's tokens in flight between data centres.
 	Flows []Flow `cbor:"8,keyasint,omitempty"`
-	// Suspects are targets that the sender found at fault.
+	// Suspects are targets that the sender found faulty.
 	Suspects []Suspect `cbor:"9,keyasint,omitempty"`
-	// NewConfig is a configuration that the receiver seems to lack.
+	// NewConfig is a configuration that the receiver appears to lack.
 	NewConfig *pkstore.Item `cbor:"10,keyasint,omitempty"`
-	// NewRecords are entries of the list that it seems to lack.
+	// NewRecords are records of the replica list that the receiver appears to lack.
 	NewRecords []pkreplica.Record `cbor:"11,keyasint,omitempty"`
-	// RecordsAfter is the revision after which NewRecords are all up to List; it is
-	// set where the receiver is told of the list.
+	// RecordsAfter is set where the message updates the replica list: NewRecords are then all
+	// records after this revision and up to List.
 	RecordsAfter *pkstore.Revision `cbor:"15,keyasint,omitempty"`
-	// Following says that the sender follows the list at the store and reaches it.
+	// Following says that the sender watches the replica list in the store and can reach the store.
 	Following bool `cbor:"16,keyasint,omitempty"`
-	// StoreBackMS is how many milliseconds ago the store returned to the sender, where
-	// that is not long ago.
+	// StoreBackMS is how many milliseconds ago the sender could reach the store again; zero where
+	// that is not recent.
 	StoreBackMS int64 `cbor:"17,keyasint,omitempty"`
-	// Members is how many entries a hub knows of by the store; zero where it is told itself.
+	// Members is the number of entries that a hub knows from the store; zero where it has that
+	// number from a hub itself.
 	Members int `cbor:"18,keyasint,omitempty"`
-	// Cases are requests under which replicas have ended, of which the sender learned lately or
-	// which the receiver seems to lack.
+	// Cases are quarantine cases that the sender learned recently or that the receiver appears to
+	// lack.
 	Cases []pkquarantine.Case `cbor:"19,keyasint,omitempty"`
-	// Held is a checksum of the requests that the sender keeps from replicas; zero where its build
-	// keeps none.
+	// Held is a checksum of the sender's quarantined requests; zero from builds without a
+	// quarantine.
 	Held pkquarantine.Sum `cbor:"20,keyasint,omitempty"`
-	// Version is that of the configuration at Config: it is ordered also where the store has come
-	// back from an older copy, and has another version at a later revision.
+	// Version is the version of the configuration at Config. It orders configurations even where
+	// the store was restored from an older copy and holds another version at a later revision.
 	Version pkconfig.Version `cbor:"22,keyasint,omitempty"`
-	// Paces are engines that are or lately were slower than their kind.
+	// Paces are engines that are, or recently were, slower than their kind.
 	Paces []pkpace.Word `cbor:"21,keyasint,omitempty"`
 	// DataCenter and ProcessorShare are those of the sender.
 	DataCenter     pkid.DataCenter `cbor:"12,keyasint,omitempty"`
 	ProcessorShare float32         `cbor:"14,keyasint,omitempty"`
-	// Sum is what a hub tells in place of its own loads and flows.
+	// Sum is what a hub sends in place of its own loads and flows.
 	Sum *Sum `cbor:"13,keyasint,omitempty"`
 }
 
-// Load is what an entry's requests hold of a target.
+// Load is the load that an entry's requests put on a target.
 type Load struct {
 	Target   pkid.TargetID `cbor:"1,keyasint"`
 	Requests int           `cbor:"2,keyasint"`
-	// Tokens is memory in tokens times layers.
+	// Tokens is the memory that they hold, in tokens times layers.
 	Tokens float32 `cbor:"3,keyasint"`
-	// Born is set where the target has started again under its id; what requests held of the
-	// earlier start is not added to it.
+	// Born is set where the target has restarted under its ID: loads on an earlier start are not
+	// added to this one.
 	Born pkid.Birth `cbor:"4,keyasint,omitempty"`
 }
 
-// Flow is tokens on their way between two data centres.
+// Flow is the number of tokens in flight between two data centres.
 type Flow struct {
 	A      pkid.DataCenter `cbor:"1,keyasint"`
 	B      pkid.DataCenter `cbor:"2,keyasint"`
 	Tokens float32         `cbor:"3,keyasint"`
 }
 
-// Suspect is a target that is passed over for some more milliseconds. Spans pass
-// between entries in place of times, since their clocks differ.
+// Suspect is a target that is avoided for some more milliseconds. Messages carry durations in place
+// of times, since the clocks of entries differ.
 type Suspect struct {
 	Target pkid.TargetID `cbor:"1,keyasint"`
 	ForMS  int64         `cbor:"2,keyasint"`
-	// Gone says that its process is: its address refused a connection.
+	// Gone says that the target's address refused a connection, so that its process has ended.
 	Gone bool `cbor:"3,keyasint,omitempty"`
-	// Born is the start of the target that was found at fault, where it is known.
+	// Born is the start of the target that was found faulty, where it is known.
 	Born pkid.Birth `cbor:"4,keyasint,omitempty"`
-	// Misplaced says that it does not hold what its entry said at the revision Entry; a later
-	// one counts again.
+	// Misplaced says that the target does not hold what its record in the replica list says at the
+	// revision below; a later record is trusted again.
 	Misplaced bool             `cbor:"5,keyasint,omitempty"`
 	Entry     pkstore.Revision `cbor:"6,keyasint,omitempty"`
 }
--- a/pkshare/table.go
+++ b/pkshare/table.go
@@ -14,74 +14,74 @@
 )
 
 const (
-	// Every is how often an entry tells the others: requests last seconds, and a
-	// count that is older than a tenth of one lets entries crowd on one target.
+	// Every is the interval between messages. It is a small fraction of a request's duration, since
+	// entries with older load data would crowd on the same target.
 	Every = 150 * time.Millisecond
-	// Quiet is how long an entry with nothing new stays silent.
+	// Quiet is the heartbeat interval of an entry that has nothing new to send.
 	Quiet = time.Second
-	// freshFor is how long what an entry said counts: six messages may be lost.
-	freshFor = 1500 * time.Millisecond
-	// EveryWithHubs is how often hubs are told, and tell: with two on the way, what an
-	// entry holds is known to all in half a second, an eighth of the time that a usual
-	// answer takes.
+	// staleAfter is the age from which a peer's last message is ignored.
+	staleAfter = 1500 * time.Millisecond
+	// EveryWithHubs is the interval between messages to and from hubs. Load data passes through up
+	// to two hubs and reaches all entries in about half a second.
 	EveryWithHubs = 300 * time.Millisecond
-	// missesFor is how long an entry may be behind before it is helped: the store
-	// tells most of them within milliseconds. Hubs do not wait: their entries follow
-	// nothing themselves.
-	missesFor = 250 * time.Millisecond
-	// tellAgain is how soon an entry is helped again that still says it knows less: its
-	// next word comes within a third of that.
-	tellAgain = time.Second
-	// helpers is how many entries tell the same one what it misses.
-	helpers = 2
+	// catchUpDelay is how long an entry may lag before its peers send it what it lacks, since most
+	// receive a change from the store within milliseconds. Hubs send the replica list without
+	// delay, since their entries do not watch it themselves.
+	catchUpDelay = 250 * time.Millisecond
+	// catchUpRetry is the pause before an entry that still lags is sent the same state again.
+	catchUpRetry = time.Second
+	// catchUpSenders is how many entries send the same state to a lagging one.
+	catchUpSenders = 2
 )
 
-// peer is what one other entry last said.
+// peer is the state that one other entry last reported.
 type peer struct {
 	addr     string
 	run      uint64
 	sequence uint64
-	at       time.Time
+	heardAt  time.Time
 	config   pkstore.Revision
 	version  pkconfig.Version
 	list     pkstore.Revision
 	loads    []Load
 	flows    []Flow
-	// sum is set where the peer spoke as a hub.
-	sum        *Sum
-	dataCenter pkid.DataCenter
-	share      float64
-	// behindSince is when it was first seen to know less than this entry.
-	configBehind time.Time
-	listBehind   time.Time
-	// held is a checksum of the requests that it keeps from replicas, heldBehind is since when it
-	// keeps others than this entry.
-	held       pkquarantine.Sum
-	heldBehind time.Time
-	// toldConfig, toldList and toldHeld are when it was helped last.
-	toldConfig time.Time
-	toldList   time.Time
-	toldHeld   time.Time
-	// following says that it follows the list at the store, followingSince when it was first heard
-	// to, without a word that it does not since.
+	// sum is set where the peer sent its message as a hub.
+	sum            *Sum
+	dataCenter     pkid.DataCenter
+	processorShare float64
+	// configBehindSince and listBehindSince are when the peer was first seen with an older state
+	// than this entry's; zero while it has none.
+	configBehindSince time.Time
+	listBehindSince   time.Time
+	// quarantineSum is the peer's checksum of quarantined requests, quarantineDiffersSince is when
+	// it was first seen to differ from this entry's.
+	quarantineSum          pkquarantine.Sum
+	quarantineDiffersSince time.Time
+	// configSentAt, listSentAt and quarantineSentAt are when the peer was last sent a catch-up.
+	configSentAt     time.Time
+	listSentAt       time.Time
+	quarantineSentAt time.Time
+	// following says whether the peer watches the replica list in the store, followingSince is
+	// since when it has done so without interruption.
 	following      bool
 	followingSince time.Time
-	// members is how many entries it knows of by the store.
+	// members is the number of entries that the peer knows from the store.
 	members int
 }
 
-// Table is what the other entries said; the zero value is empty.
+// Table holds the last state of each other entry; the zero value is empty.
 type Table struct {
 	mu    sync.Mutex
 	peers map[pkid.EntryID]*peer
-	// awaited is since when a hub has been expected to be heard of.
-	awaited map[pkid.EntryID]time.Time
-	// told is what this entry last told its hubs, toldSums what it told as a hub, by role.
-	told     Message
-	toldSums [roles]told
+	// expectedSince is since when each silent hub has been expected to send.
+	expectedSince map[pkid.EntryID]time.Time
+	// lastSent is the state that this entry last sent to its hubs, sentSums are the loads that it
+	// last sent as a hub, by role.
+	lastSent Message
+	sentSums [roleCount]sentLoads
 }
 
-// Hear takes a message at now and says whether it was newer than the last one.
+// Hear applies a message and reports whether it is newer than the last one from its sender.
 func (t *Table) Hear(now time.Time, m Message) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -100,174 +100,175 @@
 		*p = peer{}
 	}
 	if m.Sum != nil && m.Sum.Partial {
-		whole := *m.Sum
-		whole.Partial, whole.Changed = false, nil
+		full := *m.Sum
+		full.Partial, full.Changed = false, nil
 		if p.sum != nil {
-			whole.Loads = p.sum.Loads
+			full.Loads = p.sum.Loads
 		}
-		whole.Loads = merge(whole.Loads, m.Sum.Changed)
-		m.Sum = &whole
+		full.Loads = merge(full.Loads, m.Sum.Changed)
+		m.Sum = &full
 	}
-	p.addr, p.run, p.sequence, p.at = m.Addr, m.Run, m.Sequence, now
+	p.addr, p.run, p.sequence, p.heardAt = m.Addr, m.Run, m.Sequence, now
 	p.config, p.version, p.list, p.loads, p.flows = m.Config, m.Version, m.List, m.Loads, m.Flows
 	if m.Following && !p.following {
 		p.followingSince = now
 	}
-	p.following, p.members, p.held = m.Following, m.Members, m.Held
-	p.sum, p.dataCenter, p.share = m.Sum, m.DataCenter, float64(m.ProcessorShare)
+	p.following, p.members, p.quarantineSum = m.Following, m.Members, m.Held
+	p.sum, p.dataCenter, p.processorShare = m.Sum, m.DataCenter, float64(m.ProcessorShare)
 	return true
 }
 
-// Others returns what all other entries hold, by target, beside what this one
-// holds. Entries that are members but not heard of are taken to hold as much as
-// those that are, this one among them: when all start again at once, each would
-// otherwise take the pool for empty, and all their callers would meet in it.
+// Others returns the load of all other entries by target; own is the load of this one. Members that
+// have not been heard from are assumed to carry the average load of the others and this one: after
+// a simultaneous restart each entry would otherwise take the pool for empty, and all would choose
+// the same targets.
 func (t *Table) Others(now time.Time, members int, own map[pkid.TargetID]pkreplica.Load) map[pkid.TargetID]pkreplica.Load {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	heard := t.gather(now)
+	heard := t.addOthers(now)
 	out := make(map[pkid.TargetID]pkreplica.Load, len(heard.loads))
 	for id, l := range heard.loads {
 		out[id] = pkreplica.Load{Requests: l.Requests, Tokens: float64(l.Tokens)}
 	}
-	share := unheard(heard.entries, members)
-	for id, mine := range own {
+	ratio := missingRatio(heard.entries, members)
+	for id, load := range own {
 		sum := out[id]
-		sum.Requests += int(share * float64(sum.Requests+mine.Requests))
-		sum.Tokens += share * (sum.Tokens + mine.Tokens)
+		sum.Requests += int(ratio * float64(sum.Requests+load.Requests))
+		sum.Tokens += ratio * (sum.Tokens + load.Tokens)
 		out[id] = sum
 	}
 	for id, sum := range out {
 		if _, counted := own[id]; !counted {
-			out[id] = pkreplica.Load{Requests: int((1 + share) * float64(sum.Requests)), Tokens: (1 + share) * sum.Tokens}
+			out[id] = pkreplica.Load{Requests: int((1 + ratio) * float64(sum.Requests)), Tokens: (1 + ratio) * sum.Tokens}
 		}
 	}
 	return out
 }
 
-// Flow returns the tokens of all other entries between two data centres, beside
-// those of this one.
+// Flow returns the tokens of all other entries in flight between two data centres, extrapolated to
+// members that have not been heard from; own is what this entry has in flight.
 func (t *Table) Flow(now time.Time, members int, a, b pkid.DataCenter, own float64) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	sum, heard := t.gatherFlow(now, pairOf(a, b))
-	return sum + unheard(heard, members)*(sum+own)
+	sum, heard := t.othersFlow(now, pairOf(a, b))
+	return sum + missingRatio(heard, members)*(sum+own)
 }
 
-// unheard returns how many members are not heard of, for each that is or that is
-// this entry.
-func unheard(fresh, members int) float64 {
-	return float64(max(members-1-fresh, 0)) / float64(1+fresh)
+// missingRatio returns the number of members that have not been heard from per member that has,
+// with this entry among the latter.
+func missingRatio(heard, members int) float64 {
+	return float64(max(members-1-heard, 0)) / float64(1+heard)
 }
 
-// Fresh returns how many entries are heard of.
+// Fresh returns the number of entries whose last message is not stale.
 func (t *Table) Fresh(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
 	for _, p := range t.peers {
-		if now.Sub(p.at) < freshFor {
+		if now.Sub(p.heardAt) < staleAfter {
 			n++
 		}
 	}
 	return n
 }
 
-// Known is what this entry knows of the store.
+// Known is this entry's own state, with which that of a peer is compared.
 type Known struct {
 	Self   pkid.EntryID
 	Config pkstore.Revision
-	// Version is that of the configuration at Config.
+	// Version is the version of the configuration at revision Config.
 	Version pkconfig.Version
 	List    pkstore.Revision
-	// Held is a checksum of the requests that it keeps from replicas.
+	// Held is a checksum of the quarantined requests.
 	Held pkquarantine.Sum
-	// Hub says that it is a hub of the peer; what the others know is then not known.
+	// Hub says that this entry is a hub of the peer. It then sends a catch-up whatever other
+	// entries know.
 	Hub bool
 }
 
-// Help is what a peer misses: everything after these revisions, where set.
+// Help says what to send to a lagging peer: the configuration, the records of the replica list
+// after revision After, or the quarantined requests.
 type Help struct {
 	Config bool
 	List   bool
 	After  pkstore.Revision
-	// Held says that it keeps other requests from replicas than this entry.
+	// Held says that the peer's quarantined requests differ from this entry's.
 	Held bool
 }
 
-// Misses returns what to tell a peer that has known less than this entry for some
-// time. Only a few entries tell the same one.
+// Misses returns what to send to a peer that has lagged behind this entry for some time, and
+// records it as sent. Only a few entries send the same state to one peer.
 func (t *Table) Misses(now time.Time, to pkid.EntryID, k Known) Help {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.peers[to]
-	if p == nil || now.Sub(p.at) >= freshFor {
+	if p == nil || now.Sub(p.heardAt) >= staleAfter {
 		return Help{}
 	}
-	wait := missesFor
+	wait := catchUpDelay
 	if k.Hub {
 		wait = 0
 	}
 	var out Help
-	if behind(now, &p.configBehind, p.lacksConfig(k), missesFor) && now.Sub(p.toldConfig) >= tellAgain &&
-		(k.Hub || t.helps(now, to, k.Self, func(p *peer) bool { return !p.lacksConfig(k) })) {
-		p.toldConfig = now
+	if sustained(now, &p.configBehindSince, p.hasOlderConfig(k), catchUpDelay) && now.Sub(p.configSentAt) >= catchUpRetry &&
+		(k.Hub || t.sendsCatchUp(now, to, k.Self, func(p *peer) bool { return !p.hasOlderConfig(k) })) {
+		p.configSentAt = now
 		out.Config = true
 	}
-	if behind(now, &p.listBehind, p.list < k.List, wait) && now.Sub(p.toldList) >= tellAgain &&
-		(k.Hub || t.helps(now, to, k.Self, func(p *peer) bool { return p.list >= k.List })) {
-		p.toldList = now
+	if sustained(now, &p.listBehindSince, p.list < k.List, wait) && now.Sub(p.listSentAt) >= catchUpRetry &&
+		(k.Hub || t.sendsCatchUp(now, to, k.Self, func(p *peer) bool { return p.list >= k.List })) {
+		p.listSentAt = now
 		out.List, out.After = true, p.list
 	}
-	out.Held = p.missesHeld(now, k.Held)
+	out.Held = p.quarantineDiffers(now, k.Held)
 	return out
 }
 
-// missesHeld says whether a peer has for some time kept other requests from replicas than this
-// entry. One of an earlier build says nothing of them, and would be told for ever.
-func (p *peer) missesHeld(now time.Time, held pkquarantine.Sum) bool {
-	differs := p.held != 0 && p.held != held
-	if !behind(now, &p.heldBehind, differs, missesFor) || now.Sub(p.toldHeld) < tellAgain {
+// quarantineDiffers reports whether a peer's quarantined requests have differed from this entry's
+// for some time. A checksum of zero comes from an earlier build, which would be sent them for ever.
+func (p *peer) quarantineDiffers(now time.Time, sum pkquarantine.Sum) bool {
+	differs := p.quarantineSum != 0 && p.quarantineSum != sum
+	if !sustained(now, &p.quarantineDiffersSince, differs, catchUpDelay) || now.Sub(p.quarantineSentAt) < catchUpRetry {
 		return false
 	}
-	p.toldHeld = now
+	p.quarantineSentAt = now
 	return true
 }
 
-// Followed says whether some entry that is heard of at now has followed the list at the store since
-// before a time: the store has served it all the while.
+// Followed reports whether some live peer has watched the replica list without interruption since
+// before since, so that the store has been available to it throughout.
 func (t *Table) Followed(now, since time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, p := range t.peers {
-		if p.following && p.followingSince.Before(since) && now.Sub(p.at) < freshFor {
+		if p.following && p.followingSince.Before(since) && now.Sub(p.heardAt) < staleAfter {
 			return true
 		}
 	}
 	return false
 }
 
-// Led says whether a hub tells this entry of the list and of how many members there are, so
-// that it need not follow them at the store itself: each entry that does costs the store a
-// call for each change.
+// Led reports whether a hub sends this entry the replica list and the number of members, so that it
+// need not watch them in the store: each watching entry costs the store one call per change.
 func (t *Table) Led(now time.Time) bool { return t.MembersTold(now) > 0 }
 
-// MembersTold returns how many members the hubs know of; zero where no hub leads this entry.
+// MembersTold returns the number of members that hubs report; zero where no hub serves this entry.
 func (t *Table) MembersTold(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	most := 0
 	for _, p := range t.peers {
-		if p.sum != nil && p.sum.All && p.following && now.Sub(p.at) < freshFor {
+		if p.sum != nil && p.sum.All && p.following && now.Sub(p.heardAt) < staleAfter {
 			most = max(most, p.members)
 		}
 	}
 	return most
 }
 
-// behind notes since when a peer is behind and says whether it has been for long enough.
-func behind(now time.Time, since *time.Time, is bool, wait time.Duration) bool {
-	if !is {
+// sustained reports whether a condition has held for at least wait; since records when it began.
+func sustained(now time.Time, since *time.Time, condition bool, wait time.Duration) bool {
+	if !condition {
 		*since = time.Time{}
 		return false
 	}
@@ -277,45 +278,46 @@
 	return now.Sub(*since) >= wait
 }
 
-// lacksConfig says whether a peer has an older configuration than this entry. Versions decide
-// where both are known: a store that has come back from an older copy may name an older one at a
-// later revision, until the operators write the newest again.
-func (p *peer) lacksConfig(k Known) bool {
+// hasOlderConfig reports whether a peer's configuration is older than this entry's. Versions decide
+// where both are known: a store that was restored from an older copy may hold an older version at a
+// later revision until the newest one is written again.
+func (p *peer) hasOlderConfig(k Known) bool {
 	if p.version != 0 && k.Version != 0 && p.version != k.Version {
 		return p.version < k.Version
 	}
 	return p.config < k.Config
 }
 
-// helps says whether this entry is among the first by name that could help.
-func (t *Table) helps(now time.Time, to, self pkid.EntryID, could func(*peer) bool) bool {
-	able := []pkid.EntryID{self}
+// sendsCatchUp reports whether this entry is among the first by ID of those that can catch it up.
+func (t *Table) sendsCatchUp(now time.Time, to, self pkid.EntryID, canSend func(*peer) bool) bool {
+	candidates := []pkid.EntryID{self}
 	for id, p := range t.peers {
-		if id != to && now.Sub(p.at) < freshFor && could(p) {
-			able = append(able, id)
+		if id != to && now.Sub(p.heardAt) < staleAfter && canSend(p) {
+			candidates = append(candidates, id)
 		}
 	}
-	slices.SortFunc(able, cmp.Compare[pkid.EntryID])
-	return slices.Index(able, self) < helpers
+	slices.SortFunc(candidates, cmp.Compare[pkid.EntryID])
+	return slices.Index(candidates, self) < catchUpSenders
 }
 
-// Reconnected notes that a peer may have lost what it was told.
+// Reconnected makes a peer eligible for all catch-ups again, since messages on its previous
+// connection may have been lost.
 func (t *Table) Reconnected(to pkid.EntryID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if p := t.peers[to]; p != nil {
-		p.toldConfig, p.toldList, p.toldHeld = time.Time{}, time.Time{}, time.Time{}
+		p.configSentAt, p.listSentAt, p.quarantineSentAt = time.Time{}, time.Time{}, time.Time{}
 	}
 }
 
-// Members returns the entries that are heard of and take messages.
+// Members returns the entries that accept messages and whose last message is not stale.
 func (t *Table) Members(now time.Time) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Member
 	for id, p := range t.peers {
-		if now.Sub(p.at) < freshFor && p.addr != "" {
-			out = append(out, Member{ID: id, Addr: p.addr, DataCenter: p.dataCenter, ProcessorShare: p.share})
+		if now.Sub(p.heardAt) < staleAfter && p.addr != "" {
+			out = append(out, Member{ID: id, Addr: p.addr, DataCenter: p.dataCenter, ProcessorShare: p.processorShare})
 		}
 	}
 	return out
