--- a/pkmember/doc.go
+++ b/pkmember/doc.go
@@ -1,14 +1,12 @@
-// Package pkmember knows the other entries: which there are, which are alive,
-// what they have in progress and who looks after what.
+// Package pkmember tracks the membership of entries, the router's own nodes: which there are, which
+// are alive, what they have in progress, and which of them is responsible for what.
 //
-// Full detail is shared only inside a neighborhood, a data centre or a small
-// region, so that what a node keeps and sends does not grow with the fleet.
-// Every other neighborhood is reached over a few links that are chosen by
-// rendezvous hashing; what must reach everyone, the manifest's revision, takes
-// one hop to a neighborhood and one inside it.
+// Full state is exchanged only within a neighborhood, a data centre or a small region, so that the
+// memory and traffic of an entry do not grow with the fleet. Each other neighborhood is reached
+// over a few links chosen by rendezvous hashing. The revision of the manifest, which every entry
+// needs, takes one hop to a neighborhood and one inside it.
 //
-// Nobody is elected. Work that one node should do for its neighborhood falls to
-// whoever rendezvous hashing puts first among those alive. Two nodes that see
-// different members may both do it for a moment; such work is therefore always
-// harmless when done twice. What must not be done twice needs a lease.
+// There is no leader election. Work that one entry should do for its neighborhood falls to the live
+// member that ranks first by rendezvous hashing. Two entries with different views may both do it
+// for a short time, so such work is idempotent. Work that must not be done twice requires a lease.
 package pkmember
--- a/pkmember/member.go
+++ b/pkmember/member.go
@@ -9,14 +9,14 @@
 	"peridotknot.example/pkid"
 )
 
-// Instance names one run of an entry's process. Two VMs that were given one
-// entry id by mistake differ by it.
+// Instance identifies one run of an entry's process. It distinguishes two VMs that were given the
+// same entry ID by mistake.
 type Instance string
 
-// Neighborhood names a group of entries that share full detail.
+// Neighborhood names a group of entries that exchange full state.
 type Neighborhood string
 
-// Member is one entry as the others know it.
+// Member describes an entry to the others.
 type Member struct {
 	Entry        pkid.EntryID    `cbor:"1,keyasint"`
 	Instance     Instance        `cbor:"2,keyasint"`
@@ -25,28 +25,28 @@
 	Neighborhood Neighborhood    `cbor:"5,keyasint"`
 }
 
-// score is the rendezvous weight of a member for a piece of work.
-func (m Member) score(work string) uint64 {
-	return xxhash.Sum64String(string(m.Instance) + "\x00" + work)
+// score returns the rendezvous weight of a member for a key.
+func (m Member) score(key string) uint64 {
+	return xxhash.Sum64String(string(m.Instance) + "\x00" + key)
 }
 
-// First returns up to n members in the rendezvous order of a piece of work.
-// When a member comes or goes, only the work that it had moves.
-func First(members []Member, work string, n int) []Member {
+// First returns up to n members in the rendezvous order of key. When a member joins or leaves, only
+// the keys that it is responsible for move.
+func First(members []Member, key string, n int) []Member {
 	sorted := slices.Clone(members)
 	slices.SortFunc(sorted, func(a, b Member) int {
-		return cmp.Or(cmp.Compare(b.score(work), a.score(work)), cmp.Compare(a.Instance, b.Instance))
+		return cmp.Or(cmp.Compare(b.score(key), a.score(key)), cmp.Compare(a.Instance, b.Instance))
 	})
 	return sorted[:min(n, len(sorted))]
 }
 
-// Owner returns the member that looks after a piece of work.
-func Owner(members []Member, work string) (Member, bool) {
+// Owner returns the member that is responsible for key.
+func Owner(members []Member, key string) (Member, bool) {
 	var best Member
-	var most uint64
+	var bestScore uint64
 	for _, m := range members {
-		if s := m.score(work); best.Instance == "" || s > most || (s == most && m.Instance < best.Instance) {
-			best, most = m, s
+		if s := m.score(key); best.Instance == "" || s > bestScore || (s == bestScore && m.Instance < best.Instance) {
+			best, bestScore = m, s
 		}
 	}
 	return best, best.Instance != ""
--- a/pkmember/share.go
+++ b/pkmember/message.go
@@ -8,15 +8,14 @@
 	"peridotknot.example/pktarget"
 )
 
-// Version is the version of the messages between entries. A reader skips
-// fields that it does not know, so N and N+1 run together; a field is never
-// given another meaning.
+// Version is the version of the messages between entries. Readers skip unknown fields and a field
+// never changes its meaning, so adjacent versions can run together.
 const (
 	Version       = 1
 	OldestVersion = 1
 )
 
-// Message is what travels between two entries; one of its parts is set.
+// Message is a message between two entries; one of its fields is set.
 type Message struct {
 	Hello    *Hello    `cbor:"1,keyasint,omitempty"`
 	Share    *Share    `cbor:"2,keyasint,omitempty"`
@@ -25,13 +24,11 @@
 	Leaving  bool      `cbor:"5,keyasint,omitempty"`
 	Claim    *Claim    `cbor:"6,keyasint,omitempty"`
 	Claimed  *Claimed  `cbor:"7,keyasint,omitempty"`
-	// HandOver holds claims that the sender keeps and that the receiver keeps
-	// from now on, since the sender is leaving.
+	// HandOver holds claims that the sender, which is leaving, transfers to the receiver.
 	HandOver []Claim `cbor:"8,keyasint,omitempty"`
 }
 
-// Claim asks a neighbor to keep an idempotency key for a request, or to let it
-// go again.
+// Claim asks a neighbor to reserve an idempotency key for a request, or to release it.
 type Claim struct {
 	ID      uint64         `cbor:"1,keyasint,omitempty"`
 	Key     string         `cbor:"2,keyasint"`
@@ -39,13 +36,13 @@
 	Release bool           `cbor:"4,keyasint,omitempty"`
 }
 
-// Claimed answers a Claim.
+// Claimed is the reply to a claim.
 type Claimed struct {
 	ID      uint64 `cbor:"1,keyasint"`
 	Granted bool   `cbor:"2,keyasint"`
 }
 
-// Hello opens a connection.
+// Hello is the first message on a connection.
 type Hello struct {
 	Version int      `cbor:"1,keyasint"`
 	Oldest  int      `cbor:"2,keyasint"`
@@ -53,12 +50,12 @@
 	Known   []Member `cbor:"4,keyasint,omitempty"`
 }
 
-// Share is what an entry tells its neighbors again and again. Counts holds only
-// what changed since the last Share on the same connection.
+// Share is the periodic update that an entry sends to its neighbors. Counts holds only what changed
+// since the previous update on the same connection.
 //
-// Targets are named once on a connection, in Names, and are then their place
-// in the list of all names so far: names would be most of the bytes, and what a
-// node may send bounds how fresh its counts are.
+// Each target is named once on a connection, in Names, and is then referred to by its index in the
+// list of all names so far. Names would otherwise be most of the traffic, whose limit determines
+// how old counts become.
 type Share struct {
 	Names    []pkid.TargetID   `cbor:"7,keyasint,omitempty"`
 	Refs     []int             `cbor:"8,keyasint,omitempty"`
@@ -68,24 +65,24 @@
 	Revision pkid.Revision     `cbor:"4,keyasint,omitempty"`
 	Digest   pkmanifest.Digest `cbor:"5,keyasint,omitempty"`
 	Known    []Member          `cbor:"6,keyasint,omitempty"`
-	// Counts is what Refs and Ns say, once they were resolved.
+	// Counts are the resolved counts by target.
 	Counts []Count `cbor:"-"`
 }
 
-// Count is how many requests the sender has on a target.
+// Count is the number of requests that the sender has on a target.
 type Count struct {
 	Target pkid.TargetID
 	N      int64
 }
 
-// PoolCount is how many requests the sender has in a pool.
+// PoolCount is the number of requests that the sender has in a pool.
 type PoolCount struct {
 	Pool     pkid.PoolID `cbor:"1,keyasint"`
 	InFlight int         `cbor:"2,keyasint"`
 	Waiting  int         `cbor:"3,keyasint"`
 }
 
-// Report is a target's load as the sender, who looks after it, read it.
+// Report is the load that a target reported to the sender, which is responsible for polling it.
 type Report struct {
 	Ref      int   `cbor:"1,keyasint,omitempty"`
 	Active   int   `cbor:"2,keyasint,omitempty"`
@@ -93,41 +90,39 @@
 	MaxBatch int   `cbor:"4,keyasint,omitempty"`
 	StepUS   int64 `cbor:"5,keyasint,omitempty"`
 	PerSeqUS int64 `cbor:"6,keyasint,omitempty"`
-	// PrefillUS is the time of one prompt token in microseconds.
+	// PrefillUS is the prefill time of one prompt token in microseconds.
 	PrefillUS int64 `cbor:"7,keyasint,omitempty"`
 	Leaving   bool  `cbor:"8,keyasint,omitempty"`
-	// Holding is what the target holds; it travels once on a connection and
-	// whenever it changed.
+	// Holding is what the target holds; it is sent once per connection and after each change.
 	Holding *pktarget.Holding `cbor:"9,keyasint,omitempty"`
-	// Target is what Ref says, once it was resolved.
+	// Target is the resolved name of the target.
 	Target pkid.TargetID `cbor:"-"`
 }
 
-// Want asks for the manifest that the other side has in force.
+// Want requests the manifest that the receiver has in force.
 type Want struct {
 	Revision pkid.Revision `cbor:"1,keyasint"`
 }
 
-// Manifest answers a Want.
+// Manifest is the reply to a request for the manifest.
 type Manifest struct {
-	// Head is the head's value as it stands in the store.
+	// Head is the value of the head as stored.
 	Head []byte `cbor:"1,keyasint"`
-	// Body is packed as in the store.
+	// Body is compressed with gzip, as in the store.
 	Body []byte `cbor:"2,keyasint"`
 }
 
 const (
-	paceLeast = 200 * time.Millisecond
-	paceMost  = 4 * time.Second
-	// budget is the bytes a second that a node may send for control.
-	budget = 10_000
+	minInterval = 200 * time.Millisecond
+	maxInterval = 4 * time.Second
+	// sendBudget is the control traffic that an entry may send, in bytes per second.
+	sendBudget = 10_000
 )
 
-// Pace returns how long to wait before the next Share, when the last one took
-// size bytes for each of links receivers. What a node sends stays within its
-// budget whatever the number of neighbors; with more of them the counts are
-// older instead, and the targets' own reports make up for it.
+// Pace returns the interval until the next update, given the size in bytes of the last one and the
+// number of links it was sent on. Traffic stays within the send budget at any number of neighbors:
+// with more of them counts are older, which the targets' own reports compensate for.
 func Pace(size, links int) time.Duration {
-	d := time.Duration(size) * time.Duration(links) * time.Second / budget
-	return min(max(d, paceLeast), paceMost)
+	d := time.Duration(size) * time.Duration(links) * time.Second / sendBudget
+	return min(max(d, minInterval), maxInterval)
 }
--- a/pkmember/names.go
+++ b/pkmember/names.go
@@ -6,45 +6,45 @@
 	"peridotknot.example/pkid"
 )
 
-// Refs gives targets numbers on the sending side of one connection; the zero
-// value is a new connection.
-type Refs struct{ of map[pkid.TargetID]int }
+// Refs numbers targets on the sending side of one connection; the zero value is for a new
+// connection.
+type Refs struct{ refs map[pkid.TargetID]int }
 
-// Of returns the number of a target and names it in s if it is new.
+// Of returns the number of a target, and adds its name to s if the number is new.
 func (r *Refs) Of(id pkid.TargetID, s *Share) int {
-	if ref, found := r.of[id]; found {
+	if ref, found := r.refs[id]; found {
 		return ref
 	}
-	if r.of == nil {
-		r.of = map[pkid.TargetID]int{}
+	if r.refs == nil {
+		r.refs = map[pkid.TargetID]int{}
 	}
-	ref := len(r.of)
-	r.of[id] = ref
+	ref := len(r.refs)
+	r.refs[id] = ref
 	s.Names = append(s.Names, id)
 	return ref
 }
 
-// Names knows the targets of the numbers on the receiving side of one
-// connection; the zero value is a new connection.
+// Names maps numbers to targets on the receiving side of one connection; the zero value is for a
+// new connection.
 type Names struct{ list []pkid.TargetID }
 
-// maxNames bounds what a peer can make an entry remember.
+// maxNames limits the memory that a peer can make an entry use.
 const maxNames = 1 << 16
 
 var (
-	errNames = errors.New("the peer names too many targets")
-	errRef   = errors.New("the peer refers to a target that it did not name")
-	errPairs = errors.New("the peer sent counts without targets")
+	errTooManyNames   = errors.New("peer named too many targets on one connection")
+	errUnknownRef     = errors.New("peer referred to a target number that it has not named")
+	errCountsMismatch = errors.New("peer sent unequal numbers of targets and counts")
 )
 
-// Resolve fills in what the numbers of a Share say.
+// Resolve sets the targets that the numbers in s refer to.
 func (n *Names) Resolve(s *Share) error {
 	if len(n.list)+len(s.Names) > maxNames {
-		return errNames
+		return errTooManyNames
 	}
 	n.list = append(n.list, s.Names...)
 	if len(s.Refs) != len(s.Ns) {
-		return errPairs
+		return errCountsMismatch
 	}
 	for i, ref := range s.Refs {
 		id, err := n.at(ref)
@@ -65,7 +65,7 @@
 
 func (n *Names) at(ref int) (pkid.TargetID, error) {
 	if ref < 0 || ref >= len(n.list) {
-		return "", errRef
+		return "", errUnknownRef
 	}
 	return n.list[ref], nil
 }
--- a/pkmember/names_test.go
+++ b/pkmember/names_test.go
@@ -9,9 +9,9 @@
 	"peridotknot.example/pkid"
 )
 
-// Targets travel as numbers. If the two sides ever disagree on what a number
-// means, requests are counted on the wrong target and nothing else shows it.
-func TestNumbersMeanTheSameOnBothSides(t *testing.T) {
+// Guards against the two sides of a connection disagreeing on a number, which would count requests
+// on the wrong target.
+func TestNumbersResolveToTheSameTargets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var refs Refs
 		var names Names
@@ -35,16 +35,16 @@
 	})
 }
 
-func TestResolveRefusesWhatWasNotNamed(t *testing.T) {
+func TestResolveRejectsInvalidNumbers(t *testing.T) {
 	cases := map[string]struct {
 		share Share
 		want  error
 	}{
-		"unknown number":         {Share{Refs: []int{0}, Ns: []int64{1}}, errRef},
-		"negative number":        {Share{Names: []pkid.TargetID{"a"}, Refs: []int{-1}, Ns: []int64{1}}, errRef},
-		"counts without targets": {Share{Ns: []int64{1}}, errPairs},
-		"unknown in a report":    {Share{Reports: []Report{{Ref: 3}}}, errRef},
-		"too many names":         {Share{Names: make([]pkid.TargetID, maxNames+1)}, errNames},
+		"unknown number":                        {Share{Refs: []int{0}, Ns: []int64{1}}, errUnknownRef},
+		"negative number":                       {Share{Names: []pkid.TargetID{"a"}, Refs: []int{-1}, Ns: []int64{1}}, errUnknownRef},
+		"unequal numbers of counts and targets": {Share{Ns: []int64{1}}, errCountsMismatch},
+		"unknown number in a report":            {Share{Reports: []Report{{Ref: 3}}}, errUnknownRef},
+		"too many names":                        {Share{Names: make([]pkid.TargetID, maxNames+1)}, errTooManyNames},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/pkmember/table.go
+++ b/pkmember/table.go
@@ -10,259 +10,255 @@
 )
 
 const (
-	// aliveFor is how long a member counts as alive without a message. It is
-	// more than two of the longest paces, so that one lost or late message
-	// does not move work about.
-	aliveFor = 2*paceMost + time.Second
-	// forgetAfter is how long a silent member is still tried, so that data
-	// centres that lost each other for an hour find each other again.
+	// aliveTimeout is how long a member counts as alive without a message. It exceeds two of the
+	// longest intervals, so that one lost or late message does not move work.
+	aliveTimeout = 2*maxInterval + time.Second
+	// forgetAfter is how long an entry keeps trying to reach a silent member, so that data centres
+	// that were partitioned for an hour reconnect.
 	forgetAfter = 2 * time.Hour
-	// farLinks is how many members of each other neighborhood a node reaches.
-	farLinks = 2
+	// remoteLinks is the number of members of each other neighborhood that an entry sends to.
+	remoteLinks = 2
 )
 
-// Table is what one entry knows of the others.
+// Table holds what one entry knows of the others.
 type Table struct {
 	mu      sync.Mutex
 	self    Member
-	members map[Instance]*member
-	// leaving holds instances that said goodbye, so that a neighbor's older
-	// word does not bring them back.
-	leaving map[Instance]time.Time
+	members map[Instance]*memberState
+	// tombstones are the instances that have left, so that an outdated report from a neighbor does
+	// not add them again.
+	tombstones map[Instance]time.Time
 }
 
-type member struct {
+type memberState struct {
 	Member
-	heard time.Time
-	spoke bool
-	// broken is set while no connection from the member stands, and connection
-	// counts those that stood.
-	broken     bool
-	connection uint64
-	counts     map[pkid.TargetID]int64
-	pools      map[pkid.PoolID]PoolCount
+	lastHeard     time.Time
+	everConnected bool
+	// disconnected is set while the member has no connection to this entry. connection is the
+	// number of its last one.
+	disconnected bool
+	connection   uint64
+	counts       map[pkid.TargetID]int64
+	pools        map[pkid.PoolID]PoolCount
 }
 
-// NewTable returns a table that knows only self.
+// NewTable returns a table that contains only self.
 func NewTable(self Member) *Table {
-	return &Table{self: self, members: map[Instance]*member{}, leaving: map[Instance]time.Time{}}
+	return &Table{self: self, members: map[Instance]*memberState{}, tombstones: map[Instance]time.Time{}}
 }
 
-// Self returns the entry's own member.
+// Self returns this entry's own member.
 func (t *Table) Self() Member { return t.self }
 
-// Learn takes over members that another entry, the store or the settings know
-// of. They count as alive only once they speak.
+// Learn adds members known from another entry, the store or the settings. They count as alive only
+// once they connect.
 func (t *Table) Learn(now time.Time, known []Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, m := range known {
-		t.learn(now, m)
+		t.add(now, m)
 	}
 }
 
-func (t *Table) learn(now time.Time, m Member) *member {
+func (t *Table) add(now time.Time, m Member) *memberState {
 	if m.Instance == t.self.Instance || m.Instance == "" {
 		return nil
 	}
-	if _, gone := t.leaving[m.Instance]; gone {
+	if _, left := t.tombstones[m.Instance]; left {
 		return nil
 	}
-	one, found := t.members[m.Instance]
+	state, found := t.members[m.Instance]
 	if !found {
-		one = &member{Member: m, heard: now, counts: map[pkid.TargetID]int64{}, pools: map[pkid.PoolID]PoolCount{}}
-		t.members[m.Instance] = one
+		state = &memberState{Member: m, lastHeard: now, counts: map[pkid.TargetID]int64{}, pools: map[pkid.PoolID]PoolCount{}}
+		t.members[m.Instance] = state
 	}
-	return one
+	return state
 }
 
-// Connected records a new connection from a member and returns its number for
-// Break. Counts are told as changes on one connection, so a new one starts them
-// over.
+// Connected records a new connection from a member and returns its number. Counts are sent as
+// changes on one connection, so a new one resets them.
 func (t *Table) Connected(now time.Time, m Member) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	one := t.learn(now, m)
-	if one == nil {
+	state := t.add(now, m)
+	if state == nil {
 		return 0
 	}
-	one.heard = now
-	one.spoke = true
-	one.broken = false
-	one.connection++
-	clear(one.counts)
-	return one.connection
+	state.lastHeard = now
+	state.everConnected = true
+	state.disconnected = false
+	state.connection++
+	clear(state.counts)
+	return state.connection
 }
 
-// Take records the counts of a Share.
+// Take applies an update from a member.
 func (t *Table) Take(now time.Time, from Instance, s *Share) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	one, found := t.members[from]
+	state, found := t.members[from]
 	if !found {
 		return
 	}
-	one.heard = now
+	state.lastHeard = now
 	for _, c := range s.Counts {
 		if c.N == 0 {
-			delete(one.counts, c.Target)
+			delete(state.counts, c.Target)
 		} else {
-			one.counts[c.Target] = c.N
+			state.counts[c.Target] = c.N
 		}
 	}
 	for _, p := range s.Pools {
-		one.pools[p.Pool] = p
+		state.pools[p.Pool] = p
 	}
 	for _, m := range s.Known {
-		t.learn(now, m)
+		t.add(now, m)
 	}
 }
 
-// Break records that a connection from a member broke. If its VM died, the
-// engines drop what it had in progress, so its counts go at once; if only the
-// connection did, the next one brings them back. An old connection may be seen
-// to break after the next one stands; that changes nothing.
+// Break records that a connection from a member has ended and drops the member's counts: if its VM
+// failed, the engines drop its requests, and if only the connection did, the next one sends the
+// counts again. It has no effect once a newer connection is open.
 func (t *Table) Break(id Instance, connection uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if one, found := t.members[id]; found && one.connection == connection {
-		one.broken = true
-		clear(one.counts)
+	if state, found := t.members[id]; found && state.connection == connection {
+		state.disconnected = true
+		clear(state.counts)
 	}
 }
 
-// Leave records that a member said goodbye.
+// Leave removes a member that has announced its departure.
 func (t *Table) Leave(now time.Time, id Instance) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.members, id)
-	t.leaving[id] = now
+	t.tombstones[id] = now
 }
 
-// Tend forgets members that were silent for very long.
+// Tend removes members that have been silent for too long, and expired tombstones.
 func (t *Table) Tend(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for id, one := range t.members {
+	for id, state := range t.members {
 		limit := forgetAfter
-		if !one.spoke {
-			// Hearsay about a member that never spoke is worth little.
-			limit = aliveFor
+		if !state.everConnected {
+			// Members that are only known from others are dropped sooner.
+			limit = aliveTimeout
 		}
-		if now.Sub(one.heard) > limit {
+		if now.Sub(state.lastHeard) > limit {
 			delete(t.members, id)
 		}
 	}
-	for id, at := range t.leaving {
+	for id, at := range t.tombstones {
 		if now.Sub(at) > forgetAfter {
-			delete(t.leaving, id)
+			delete(t.tombstones, id)
 		}
 	}
 }
 
-func (m *member) alive(now time.Time) bool {
-	return m.spoke && !m.broken && now.Sub(m.heard) <= aliveFor
+func (m *memberState) alive(now time.Time) bool {
+	return m.everConnected && !m.disconnected && now.Sub(m.lastHeard) <= aliveTimeout
 }
 
-// Neighbors returns the members of the own neighborhood that are alive, self
-// included, in order of instance.
+// Neighbors returns the live members of this entry's neighborhood, itself included, in order of
+// instance.
 func (t *Table) Neighbors(now time.Time) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := []Member{t.self}
-	for _, one := range t.members {
-		if one.alive(now) && one.Neighborhood == t.self.Neighborhood {
-			out = append(out, one.Member)
+	for _, state := range t.members {
+		if state.alive(now) && state.Neighborhood == t.self.Neighborhood {
+			out = append(out, state.Member)
 		}
 	}
 	sortMembers(out)
 	return out
 }
 
-// Known returns the members that are alive, self included; a newcomer that is
-// told of them meets everyone that matters to it.
+// Known returns all live members, this entry included. A joining entry that receives them can reach
+// every member that it needs.
 func (t *Table) Known(now time.Time) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := []Member{t.self}
-	for _, one := range t.members {
-		if one.alive(now) {
-			out = append(out, one.Member)
+	for _, state := range t.members {
+		if state.alive(now) {
+			out = append(out, state.Member)
 		}
 	}
 	sortMembers(out)
 	return out
 }
 
-// Links returns the members that self should send to: all of its neighborhood
-// and a few of each other one. Silent members stay among them until they are
-// forgotten, because whoever is cut off is found again only by trying.
+// Links returns the members that this entry sends to: all of its neighborhood and a few of each
+// other one. Silent members are included until they are removed, so that they are found again when
+// a partition ends.
 func (t *Table) Links(_ time.Time) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Member
-	far := map[Neighborhood][]Member{}
-	for _, one := range t.members {
-		if one.Neighborhood == t.self.Neighborhood {
-			out = append(out, one.Member)
+	remote := map[Neighborhood][]Member{}
+	for _, state := range t.members {
+		if state.Neighborhood == t.self.Neighborhood {
+			out = append(out, state.Member)
 		} else {
-			far[one.Neighborhood] = append(far[one.Neighborhood], one.Member)
+			remote[state.Neighborhood] = append(remote[state.Neighborhood], state.Member)
 		}
 	}
-	for _, members := range far {
-		out = append(out, First(members, string(t.self.Instance), farLinks)...)
+	for _, members := range remote {
+		out = append(out, First(members, string(t.self.Instance), remoteLinks)...)
 	}
 	sortMembers(out)
 	return out
 }
 
-// Counts returns how many requests the living members have on each target.
+// Counts returns the number of requests that live members have on each target.
 func (t *Table) Counts(now time.Time) map[pkid.TargetID]int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := map[pkid.TargetID]int64{}
-	for _, one := range t.members {
-		if !one.alive(now) {
+	for _, state := range t.members {
+		if !state.alive(now) {
 			continue
 		}
-		for id, n := range one.counts {
+		for id, n := range state.counts {
 			out[id] += n
 		}
 	}
 	return out
 }
 
-// Pool returns how many requests the living neighbors have in a pool, and how
-// many neighbors there are.
+// Pool returns the number of requests that live neighbors have in a pool, and the number of these
+// neighbors.
 func (t *Table) Pool(now time.Time, pool pkid.PoolID) (inFlight, neighbors int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, one := range t.members {
-		if !one.alive(now) || one.Neighborhood != t.self.Neighborhood {
+	for _, state := range t.members {
+		if !state.alive(now) || state.Neighborhood != t.self.Neighborhood {
 			continue
 		}
 		neighbors++
-		inFlight += one.pools[pool].InFlight
+		inFlight += state.pools[pool].InFlight
 	}
 	return inFlight, neighbors
 }
 
-// Twins returns living members that have the id of another entry: two VMs that
-// were given one id. Their counts are kept apart, so nothing is lost, but an
-// operator must know.
+// Twins returns live members whose entry ID another entry has as well, as when two VMs were given
+// the same ID. Their counts are kept apart, but an operator must give one of them another ID.
 func (t *Table) Twins(now time.Time) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	owner := map[pkid.EntryID]Instance{t.self.Entry: t.self.Instance}
+	instances := map[pkid.EntryID]Instance{t.self.Entry: t.self.Instance}
 	var out []Member
-	for _, one := range t.members {
-		if !one.alive(now) {
+	for _, state := range t.members {
+		if !state.alive(now) {
 			continue
 		}
-		if other, found := owner[one.Entry]; found && other != one.Instance {
-			out = append(out, one.Member)
+		if other, found := instances[state.Entry]; found && other != state.Instance {
+			out = append(out, state.Member)
 		}
-		owner[one.Entry] = one.Instance
+		instances[state.Entry] = state.Instance
 	}
 	sortMembers(out)
 	return out
--- a/pkmember/table_test.go
+++ b/pkmember/table_test.go
@@ -13,43 +13,42 @@
 
 var start = time.Unix(1000, 0)
 
-func near(id string) Member {
+func neighbor(id string) Member {
 	return Member{Entry: pkid.EntryID(id), Instance: Instance(id), Addr: id, Neighborhood: "here"}
 }
 
-func far(id string, n int) Member {
-	m := near(id)
+func remote(id string, n int) Member {
+	m := neighbor(id)
 	m.Neighborhood = Neighborhood(fmt.Sprint(n))
 	return m
 }
 
-// A member comes and goes in the ways that VMs and links do. Work must move to
-// a living member, and a member must be tried again for as long as a partition
-// of data centres may last.
-func TestMemberFates(t *testing.T) {
+// Work must move to a live member, and a silent member must be retried for as long as a partition
+// between data centres may last.
+func TestMemberLiveness(t *testing.T) {
 	cases := map[string]struct {
-		then   func(*Table)
+		event  func(*Table)
 		after  time.Duration
 		alive  bool
 		linked bool
 	}{
-		"speaks":                      {func(*Table) {}, time.Second, true, true},
-		"falls silent for a moment":   {func(*Table) {}, 5 * time.Second, true, true},
-		"falls silent":                {func(*Table) {}, 20 * time.Second, false, true},
-		"is cut off for an hour":      {func(*Table) {}, time.Hour, false, true},
-		"never comes back":            {func(*Table) {}, 3 * time.Hour, false, false},
-		"its connection breaks":       {func(t *Table) { t.Break("b", 1) }, time.Second, false, true},
-		"says goodbye":                {func(t *Table) { t.Leave(start, "b") }, time.Second, false, false},
-		"is rumored after a goodbye":  {func(t *Table) { t.Leave(start, "b"); t.Learn(start, []Member{near("b")}) }, time.Second, false, false},
-		"its old connection breaks":   {func(t *Table) { t.Connected(start, near("b")); t.Break("b", 1) }, time.Second, true, true},
-		"breaks and comes back":       {func(t *Table) { t.Break("b", 1); t.Connected(start, near("b")) }, time.Second, true, true},
-		"pauses, others go on, wakes": {func(t *Table) { t.Connected(start.Add(time.Hour), near("b")) }, time.Hour, true, true},
+		"sends":                               {func(*Table) {}, time.Second, true, true},
+		"is silent briefly":                   {func(*Table) {}, 5 * time.Second, true, true},
+		"is silent beyond the timeout":        {func(*Table) {}, 20 * time.Second, false, true},
+		"is partitioned for an hour":          {func(*Table) {}, time.Hour, false, true},
+		"is silent for three hours":           {func(*Table) {}, 3 * time.Hour, false, false},
+		"its connection ends":                 {func(t *Table) { t.Break("b", 1) }, time.Second, false, true},
+		"leaves":                              {func(t *Table) { t.Leave(start, "b") }, time.Second, false, false},
+		"is reported by others after it left": {func(t *Table) { t.Leave(start, "b"); t.Learn(start, []Member{neighbor("b")}) }, time.Second, false, false},
+		"its previous connection ends":        {func(t *Table) { t.Connected(start, neighbor("b")); t.Break("b", 1) }, time.Second, true, true},
+		"disconnects and reconnects":          {func(t *Table) { t.Break("b", 1); t.Connected(start, neighbor("b")) }, time.Second, true, true},
+		"resumes after a pause of an hour":    {func(t *Table) { t.Connected(start.Add(time.Hour), neighbor("b")) }, time.Hour, true, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			table := NewTable(near("a"))
-			table.Connected(start, near("b"))
-			c.then(table)
+			table := NewTable(neighbor("a"))
+			table.Connected(start, neighbor("b"))
+			c.event(table)
 			now := start.Add(c.after)
 			table.Tend(now)
 			assert.Equal(t, len(table.Neighbors(now)) == 2, c.alive)
@@ -58,26 +57,25 @@
 	}
 }
 
-func TestHearsayIsNotAlive(t *testing.T) {
-	table := NewTable(near("a"))
-	table.Learn(start, []Member{near("b")})
+func TestMemberThatNeverConnectedIsNotAlive(t *testing.T) {
+	table := NewTable(neighbor("a"))
+	table.Learn(start, []Member{neighbor("b")})
 	assert.Equal(t, len(table.Neighbors(start)), 1)
 	assert.Equal(t, len(table.Links(start)), 1)
 	table.Tend(start.Add(time.Minute))
 	assert.Equal(t, len(table.Links(start)), 0)
 }
 
-// A peer tells its counts as changes on one connection. If the connection
-// breaks, changes are lost; counts that stayed would keep a target looking busy
-// for ever. A new connection must start them over, and a dead peer's must go.
-func TestCountsFollowTheConnection(t *testing.T) {
-	table := NewTable(near("a"))
+// Counts are sent as changes on one connection. Counts left from a broken connection or a failed
+// member would make a target look busy for ever.
+func TestCountsAreResetByConnections(t *testing.T) {
+	table := NewTable(neighbor("a"))
 	count := func(now time.Time) int64 { return table.Counts(now)["t"] }
 	share := func(n int64) *Share { return &Share{Counts: []Count{{Target: "t", N: n}}} }
-	table.Connected(start, near("b"))
+	table.Connected(start, neighbor("b"))
 	table.Take(start, "b", share(7))
 	assert.Equal(t, count(start), int64(7))
-	table.Connected(start, near("b"))
+	table.Connected(start, neighbor("b"))
 	assert.Equal(t, count(start), int64(0))
 	table.Take(start, "b", share(3))
 	assert.Equal(t, count(start.Add(time.Hour)), int64(0))
@@ -86,51 +84,51 @@
 	assert.Equal(t, count(start), int64(0))
 }
 
-func TestLinksStayFewAsTheFleetGrows(t *testing.T) {
-	table := NewTable(near("self"))
+func TestRemoteLinksAreBounded(t *testing.T) {
+	table := NewTable(neighbor("self"))
 	for n := range 17 {
 		for i := range 22 {
 			id := fmt.Sprintf("%d-%d", n, i)
-			m := far(id, n)
+			m := remote(id, n)
 			if n == 0 {
-				m = near(id)
+				m = neighbor(id)
 			}
 			table.Connected(start, m)
 		}
 	}
-	assert.Equal(t, len(table.Links(start)), 22+16*farLinks)
+	assert.Equal(t, len(table.Links(start)), 22+16*remoteLinks)
 }
 
-// Everyone must agree on who looks after what, or targets are polled by all or
-// by none; and a member that goes must move only its own work.
-func TestOwnershipMovesLittle(t *testing.T) {
+// Guards against targets that are polled by all members or by none: members must agree on who is
+// responsible, and a member that leaves must move only its own work.
+func TestOnlyKeysOfARemovedMemberMove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 20).Draw(t, "members")
 		var members []Member
 		for i := range n {
-			members = append(members, near(fmt.Sprint("m", i)))
+			members = append(members, neighbor(fmt.Sprint("m", i)))
 		}
-		gone := rapid.IntRange(0, n-1).Draw(t, "gone")
-		left := append(append([]Member{}, members[:gone]...), members[gone+1:]...)
+		removed := rapid.IntRange(0, n-1).Draw(t, "gone")
+		remaining := append(append([]Member{}, members[:removed]...), members[removed+1:]...)
 		for i := range 50 {
-			work := fmt.Sprint("target-", i)
-			before, _ := Owner(members, work)
-			after, _ := Owner(left, work)
-			if before.Instance != members[gone].Instance && before != after {
-				t.Fatalf("%s moved from %s to %s", work, before.Instance, after.Instance)
+			key := fmt.Sprint("target-", i)
+			before, _ := Owner(members, key)
+			after, _ := Owner(remaining, key)
+			if before.Instance != members[removed].Instance && before != after {
+				t.Fatalf("%s moved from %s to %s", key, before.Instance, after.Instance)
 			}
-			if First(members, work, 1)[0] != before {
-				t.Fatal("First and Owner disagree")
+			if First(members, key, 1)[0] != before {
+				t.Fatal("the first member is not the owner")
 			}
 		}
 	})
 }
 
-func TestPaceKeepsTheBudget(t *testing.T) {
+func TestIntervalKeepsTheSendBudget(t *testing.T) {
 	for _, links := range []int{1, 7, 21, 54} {
 		for _, size := range []int{50, 500, 1500} {
 			perSecond := float64(size*links) / Pace(size, links).Seconds()
-			assert.Assert(t, perSecond <= budget*1.01 || Pace(size, links) == paceMost, "%d links of %d bytes: %.0f B/s", links, size, perSecond)
+			assert.Assert(t, perSecond <= sendBudget*1.01 || Pace(size, links) == maxInterval, "%d links of %d bytes: %.0f B/s", links, size, perSecond)
 		}
 	}
 }
