--- a/pkpeer/conn.go
+++ b/pkpeer/conn.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// maxMessage holds a manifest of several megabytes; more is hostile.
-	maxMessage   = 8 << 20
-	writeTimeout = 2 * time.Second
+	// maxMessageSize allows for a manifest of several megabytes.
+	maxMessageSize = 8 << 20
+	writeTimeout   = 2 * time.Second
 )
 
-// decode refuses what a broken or hostile peer could exhaust memory with.
-var decode = mustDecoder(cbor.DecOptions{
+// decMode limits the memory that a malformed or malicious message can make the decoder allocate.
+var decMode = mustDecoder(cbor.DecOptions{
 	MaxNestedLevels:  16,
 	MaxArrayElements: 1 << 16,
 	MaxMapPairs:      1 << 16,
@@ -33,15 +33,15 @@
 	return mode
 }
 
-// Conn is a connection to another entry over which messages M pass.
+// Conn is a connection to another entry that carries messages of type M.
 type Conn[M any] struct {
 	ws *websocket.Conn
-	// sent and received count bytes for the limits on control traffic.
+	// sent and received count the bytes of all connections that share them.
 	sent     *atomic.Int64
 	received *atomic.Int64
 }
 
-// Send sends a message and returns its size.
+// Send sends a message and returns its size in bytes.
 func (c *Conn[M]) Send(ctx context.Context, m M) (int, error) {
 	raw, err := Encode(m)
 	if err != nil {
@@ -50,8 +50,8 @@
 	return c.SendRaw(ctx, raw)
 }
 
-// SendRaw sends a message that Encode wrote and returns its size; what goes to
-// many entries is encoded once.
+// SendRaw sends a message encoded by Encode and returns its size in bytes. It avoids encoding a
+// message again for each receiver.
 func (c *Conn[M]) SendRaw(ctx context.Context, raw []byte) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
@@ -73,10 +73,10 @@
 	return Decode[M](raw)
 }
 
-// Close closes the connection at once.
+// Close closes the connection without a closing handshake.
 func (c *Conn[M]) Close() error { return c.ws.CloseNow() }
 
-// Encode writes a message.
+// Encode returns the CBOR encoding of a message.
 func Encode[M any](m M) ([]byte, error) {
 	raw, err := cbor.Marshal(m)
 	if err != nil {
@@ -85,11 +85,11 @@
 	return raw, nil
 }
 
-// Decode reads a message.
+// Decode decodes a message from CBOR and rejects one that exceeds the decoder's limits.
 func Decode[M any](raw []byte) (M, error) {
 	var m M
-	if err := decode.Unmarshal(raw, &m); err != nil {
-		return m, fmt.Errorf("message of a peer is not readable: %w", err)
+	if err := decMode.Unmarshal(raw, &m); err != nil {
+		return m, fmt.Errorf("decode message from peer: %w", err)
 	}
 	return m, nil
 }
--- a/pkpeer/conn_test.go
+++ b/pkpeer/conn_test.go
@@ -10,9 +10,9 @@
 	"peridotknot.example/pkmember"
 )
 
-// During an upgrade a newer entry sends fields that this build does not know.
-// They must be skipped, and the rest must be read.
-func TestNewerMessagesAreRead(t *testing.T) {
+// During an upgrade a newer entry sends fields that this build does not know. They must be skipped
+// and the others read.
+func TestUnknownFieldsAreSkipped(t *testing.T) {
 	type newerShare struct {
 		Revision uint64         `cbor:"4,keyasint"`
 		Later    map[string]int `cbor:"77,keyasint"`
@@ -28,23 +28,23 @@
 	assert.Equal(t, uint64(m.Share.Revision), uint64(9))
 }
 
-func TestHostileMessagesAreRefused(t *testing.T) {
+func TestMalformedMessagesAreRejected(t *testing.T) {
 	nested := make([]byte, 1000)
 	for i := range nested {
-		nested[i] = 0x81 // an array of one array of one …
+		nested[i] = 0x81 // an array with one element
 	}
 	cases := map[string][]byte{
-		"nested deeply":          nested,
-		"array of 2^32 elements": {0xa1, 0x02, 0x9a, 0xff, 0xff, 0xff, 0xff},
-		"endless string":         {0xa1, 0x02, 0x5f, 0x41, 0x00},
-		"cut short":              {0xa1, 0x02},
-		"not a message":          {0x01},
-		"empty":                  {},
+		"nested deeply":               nested,
+		"array of 2^32 elements":      {0xa1, 0x02, 0x9a, 0xff, 0xff, 0xff, 0xff},
+		"string of indefinite length": {0xa1, 0x02, 0x5f, 0x41, 0x00},
+		"truncated":                   {0xa1, 0x02},
+		"not a message":               {0x01},
+		"empty":                       {},
 	}
 	for name, raw := range cases {
 		t.Run(name, func(t *testing.T) {
 			_, err := Decode[pkmember.Message](raw)
-			assert.ErrorContains(t, err, "not readable")
+			assert.ErrorContains(t, err, "decode message from peer")
 		})
 	}
 }
--- a/pkpeer/net.go
+++ b/pkpeer/net.go
@@ -13,10 +13,10 @@
 	"peridotknot.example/pkconn"
 )
 
-// Path is where an entry takes connections of others.
+// Path is the HTTP path at which an entry accepts connections from peers.
 const Path = "/peer"
 
-// Net dials other entries and takes their connections.
+// Net dials other entries and accepts their connections.
 type Net[M any] struct {
 	identity Identity
 	options  pkconn.Options
@@ -24,13 +24,13 @@
 	received atomic.Int64
 }
 
-// NewNet returns a net with an identity.
+// NewNet returns a transport with an identity and connection options.
 func NewNet[M any](i Identity, o pkconn.Options) *Net[M] { return &Net[M]{identity: i, options: o} }
 
-// Bytes returns how many bytes were sent and received.
+// Bytes returns the total number of bytes sent and received in messages.
 func (n *Net[M]) Bytes() (sent, received int64) { return n.sent.Load(), n.received.Load() }
 
-// Listen returns l, with mutual TLS if there is an identity.
+// Listen returns l, wrapped in mutual TLS if an identity is configured.
 func (n *Net[M]) Listen(l net.Listener) net.Listener {
 	if !n.identity.Used() {
 		return l
@@ -52,7 +52,7 @@
 	}
 	ws, resp, err := websocket.Dial(ctx, scheme+"://"+addr+Path, &websocket.DialOptions{HTTPClient: &http.Client{Transport: transport}})
 	if resp != nil && resp.Body != nil {
-		_ = resp.Body.Close() // the connection lives on in ws
+		_ = resp.Body.Close() // ws keeps the connection open
 	}
 	if err != nil {
 		return nil, fmt.Errorf("dial peer: %w", err)
@@ -60,7 +60,7 @@
 	return n.conn(ws), nil
 }
 
-// Accept takes over a connection of another entry.
+// Accept upgrades a request from another entry to a connection.
 func (n *Net[M]) Accept(w http.ResponseWriter, r *http.Request) (*Conn[M], error) {
 	ws, err := websocket.Accept(w, r, nil)
 	if err != nil {
@@ -70,6 +70,6 @@
 }
 
 func (n *Net[M]) conn(ws *websocket.Conn) *Conn[M] {
-	ws.SetReadLimit(maxMessage)
+	ws.SetReadLimit(maxMessageSize)
 	return &Conn[M]{ws: ws, sent: &n.sent, received: &n.received}
 }
--- a/pkpeer/tls.go
+++ b/pkpeer/tls.go
@@ -8,20 +8,18 @@
 	"os"
 )
 
-// Identity names the files of a mutual TLS identity; the zero value means that
-// peers speak without TLS.
+// Identity names the files for mutual TLS; the zero value disables TLS between peers.
 type Identity struct {
 	Cert string
 	Key  string
 	CA   string
 }
 
-// Used says whether there is an identity.
+// Used reports whether an identity is configured.
 func (i Identity) Used() bool { return i.Cert != "" }
 
-// server returns a configuration that reads the files for each handshake.
-// Handshakes are rare, and a key that was rotated is in use at once, without a
-// restart and without a watcher that could miss it.
+// server returns a configuration that loads the files at each handshake, so that rotated keys take
+// effect without a restart or a file watcher.
 func (i Identity) server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -60,7 +58,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(raw) {
-		return cert, nil, errors.New("the peer CA file holds no certificate")
+		return cert, nil, errors.New("peer CA file contains no certificate")
 	}
 	return cert, pool, nil
 }
--- a/pkpeer/tls_test.go
+++ b/pkpeer/tls_test.go
@@ -21,7 +21,7 @@
 	"peridotknot.example/pkmember"
 )
 
-// authority signs the certificates of entries.
+// authority is a CA that signs the certificates of entries.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -38,7 +38,7 @@
 	return authority{cert: cert, key: key}
 }
 
-// issue writes an identity into a folder, valid until end.
+// issue writes an identity that is valid until end into folder.
 func (a authority) issue(t *testing.T, folder string, end time.Time) Identity {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	assert.NilError(t, err)
@@ -61,8 +61,8 @@
 	assert.NilError(t, os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: raw}), 0o600))
 }
 
-// hello dials a server of one identity with another and exchanges a message.
-func hello(t *testing.T, server, client Identity) error {
+// exchange connects a client to a server and exchanges one message in each direction.
+func exchange(t *testing.T, server, client Identity) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	n := NewNet[pkmember.Message](server, pkconn.DefaultOptions())
@@ -92,17 +92,16 @@
 	return err
 }
 
-// A process that is no entry, or one whose certificate has run out, dials a
-// peer. It must get nothing and change nothing.
-func TestOnlyEntriesAreMet(t *testing.T) {
+// Peers without a valid certificate of the same CA must be rejected.
+func TestPeersRequireValidCertificates(t *testing.T) {
 	ours, others := newAuthority(t), newAuthority(t)
 	valid := time.Now().Add(time.Hour)
 	good := ours.issue(t, t.TempDir(), valid)
 	cases := map[string]struct {
 		server, client Identity
-		met            bool
+		accepted       bool
 	}{
-		"both ours":                   {good, ours.issue(t, t.TempDir(), valid), true},
+		"same authority":              {good, ours.issue(t, t.TempDir(), valid), true},
 		"client of another authority": {good, others.issue(t, t.TempDir(), valid), false},
 		"client expired":              {good, ours.issue(t, t.TempDir(), time.Now().Add(-time.Hour)), false},
 		"client without identity":     {good, Identity{}, false},
@@ -111,20 +110,19 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			err := hello(t, c.server, c.client)
-			assert.Equal(t, err == nil, c.met, "%v", err)
+			err := exchange(t, c.server, c.client)
+			assert.Equal(t, err == nil, c.accepted, "%v", err)
 		})
 	}
 }
 
-// The files of an identity are replaced while the process runs. The next
-// connection must use the new ones.
-func TestIdentityIsReadAgain(t *testing.T) {
+// Identity files that are replaced at run time must be used for the next connection.
+func TestReplacedIdentityIsUsed(t *testing.T) {
 	a, b := newAuthority(t), newAuthority(t)
 	folder := t.TempDir()
 	valid := time.Now().Add(time.Hour)
 	identity := a.issue(t, folder, valid)
-	assert.Assert(t, hello(t, identity, b.issue(t, t.TempDir(), valid)) != nil)
+	assert.Assert(t, exchange(t, identity, b.issue(t, t.TempDir(), valid)) != nil)
 	b.issue(t, folder, valid)
-	assert.NilError(t, hello(t, identity, b.issue(t, t.TempDir(), valid)))
+	assert.NilError(t, exchange(t, identity, b.issue(t, t.TempDir(), valid)))
 }
