--- a/pkowner/doc.go
+++ b/pkowner/doc.go
@@ -1,8 +1,7 @@
-// Package pkowner decides what the owner of a pool of engines orders next.
+// Package pkowner decides which orders the owner of the engine pools sends next.
 //
-// One entry owns all pools by a lease. It keeps nothing that is not read back from
-// the engines: a new owner sees what they hold, plans with pklayers.Plan and orders
-// only what differs. An order is guarded by the count of orders that the engine had
-// accepted when it was last read, so that an order that comes late, from this owner
-// or from the one before it, is refused by the engine itself.
+// One entry owns all pools under a lease. It keeps no state of its own: a new owner reads what the
+// engines hold, plans with package pklayers and orders only the differences. Each order carries the
+// number of orders that the engine had accepted when it was last read, so that the engine itself
+// rejects an outdated order, whether from this owner or the previous one.
 package pkowner
--- a/pkowner/engine.go
+++ b/pkowner/engine.go
@@ -7,30 +7,29 @@
 	"peridotknot.example/pkid"
 )
 
-// Report is an engine's own word on itself, some hundred milliseconds old.
+// Report is the state that an engine reports, some hundred milliseconds old.
 type Report struct {
-	// Orders is how many orders it has accepted since its start.
+	// Orders is the number of orders accepted since the engine's start.
 	Orders uint64
-	// Busy says that it is carrying one out.
+	// Busy says that an order is being carried out.
 	Busy bool
 	Held pkid.Range
-	// Pace is over 1 where the engine is slower than its kind.
+	// Pace is the engine's slowdown relative to its kind; over 1 is slower.
 	Pace float64
-	// Requests is how many it runs or has waiting.
+	// Requests is the number of running and queued requests.
 	Requests int
-	// Used and Room count tokens times layers.
+	// Used and Room are the used and total memory for requests, in tokens times layers.
 	Used float64
 	Room float64
-	// Born tells this start of the engine from others under the same id.
+	// Born distinguishes this start of the engine from others under the same ID.
 	Born pkid.Birth
-	// Stalled are the requests that wait for an engine further on their path.
+	// Stalled are the requests that wait for an engine further along their path.
 	Stalled []Stalled
 }
 
-// Empty says whether an engine that is listed with layers has lost them by starting again: it
-// counts no order, and to hold layers it must have had one. Where it starts again behind a cut
-// from the store, its entry names the layers of before for seconds, and streams that wait for
-// it stand still until it is known: 2.7 s at the median on a day with three such cuts.
+// Empty reports whether an engine that is listed with layers has lost them in a restart: it reports
+// no layers and no accepted order. Until the engine reaches the store, the list names its former
+// layers.
 func (r Report) Empty(listed pkid.Range) bool {
 	return listed.Len() > 0 && r.Orders == 0 && r.Held.Len() == 0 && !r.Busy
 }
@@ -44,44 +43,44 @@
 // Order tells an engine which layers to hold.
 type Order struct {
 	Layers pkid.Range
-	// Fence is the fencing number of the owner's lease.
+	// Fence is the fencing token of the owner's lease.
 	Fence pkid.Fence
-	// Orders is how many orders the engine must have accepted before.
+	// Orders is the number of orders that the engine must have accepted before this one.
 	Orders uint64
 }
 
-// Outcome is what an engine answered to an order.
+// Outcome is the result of an order.
 type Outcome uint8
 
 // Outcomes of an order; the zero value is that of a lost answer.
 const (
-	// Unknown orders may be carried out seconds later.
+	// Unknown means that the order may still be carried out, even seconds later.
 	Unknown Outcome = iota
-	// Begun orders are being carried out.
+	// Begun means that the order is being carried out.
 	Begun
-	// Done orders state what already holds.
+	// Done means that the engine was already in the ordered state.
 	Done
-	// Rejected orders do not fit the engine's state.
+	// Rejected means that the order does not fit the engine's state.
 	Rejected
 )
 
-// String returns the outcome as it stands in logs.
+// String returns the outcome as written to logs and metrics.
 func (o Outcome) String() string {
 	return [...]string{"unknown", "begun", "done", "rejected"}[o]
 }
 
-// Engines reads reports of engines and gives them orders.
+// Engines reads the reports of engines and sends them orders.
 type Engines interface {
 	// Report reads the report of the engine at addr.
 	Report(ctx context.Context, addr string) (Report, error)
-	// Place orders the engine at addr to hold layers.
+	// Place orders the engine at addr to hold a range of layers.
 	Place(ctx context.Context, addr string, o Order) (Outcome, error)
-	// Hold keeps a connection to the engine at addr until the engine ends it, as it does with
-	// all when its process ends; the error is that of connecting.
+	// Hold keeps a connection to the engine at addr open until the engine closes it, as when its
+	// process ends. The error is that of connecting.
 	Hold(ctx context.Context, addr string) error
-	// Leaving asks the engine at addr by its health check whether it leaves or fails; one that
-	// is too busy to answer it does not.
+	// Leaving reports whether the health check of the engine at addr says that it is leaving or
+	// failing. An engine too busy to answer the check is not.
 	Leaving(ctx context.Context, addr, healthPath string) (bool, error)
-	// Repath orders the first engine of a request to go on over another path.
+	// Repath orders the first engine of a request to continue it on another path.
 	Repath(ctx context.Context, addr string, id pkid.RequestID, path []pkforward.Hop) (Outcome, error)
 }
--- a/pkowner/desk_test.go
+++ b/pkowner/scheduler_test.go
@@ -38,11 +38,9 @@
 
 func (p *pool) live(now time.Time) []*pkreplica.Target { return p.roster.Live(now, "s") }
 
-// All VMs start together and replicas register one after the other. A plan made
-// over the first few gives them rows of their own; those that come later fit no row
-// and their layers stand beside each other's. Callers then see paths of twice the
-// length, and refusals. The plan must wait until no more come.
-func TestAColdPoolIsPlannedOnceItHasSettled(t *testing.T) {
+// Replicas register one after the other after a cold start. A plan over the first few does not fit
+// those that follow, so the plan must wait until no more arrive.
+func TestColdPoolIsPlannedOnceItHasSettled(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var p pool
 	var d Desk
@@ -55,10 +53,9 @@
 	assert.Equal(t, len(d.Next(now, model(), p.live(now))), 8)
 }
 
-// An order is given, and its answer or its effect is late. The plan must count
-// what is being loaded, order nothing twice meanwhile, and order again if the
-// engine restarted empty.
-func TestAnOrderUnderWayIsNotRepeated(t *testing.T) {
+// An order whose answer or effect is late must count as pending and not be repeated, but the engine
+// must be ordered again if it restarted empty.
+func TestPendingOrderIsNotRepeated(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var p pool
 	var d Desk
@@ -77,7 +74,7 @@
 		d.Sent(now, model(), task, o)
 	}
 	assert.Equal(t, len(d.Next(now, model(), p.live(now))), 0)
-	now = now.Add(askAgain)
+	now = now.Add(retryDelay)
 	again := d.Next(now, model(), p.live(now))
 	assert.Equal(t, len(again), 1)
 	assert.Equal(t, again[0].Target.ID, tasks[0].Target.ID)
@@ -90,10 +87,9 @@
 	assert.Equal(t, len(d.Next(now, model(), p.live(now))), 1)
 }
 
-// In a release the new engine starts first and the old one leaves two seconds later.
-// Ordered at once, the new one loads layers that lack nothing, and callers crowd on
-// what is left beside the old one. It must wait, and take what the old one gives up.
-func TestANewEngineTakesTheLayersOfTheOneThatLeaves(t *testing.T) {
+// In a rolling update the new engine starts two seconds before the old one leaves. It must wait and
+// then take the old one's layers, which would otherwise lack memory for requests.
+func TestReplacementTakesTheLayersOfTheLeavingEngine(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var p pool
 	var d Desk
@@ -105,8 +101,8 @@
 	now = now.Add(time.Minute)
 	p.set(now, "new", pkid.Range{})
 	assert.Equal(t, len(d.Next(now, model(), p.live(now))), 0)
-	now = now.Add(replaceWait - time.Millisecond)
-	assert.Equal(t, len(d.Next(now, model(), p.live(now))), 0, "what it replaces has not left yet")
+	now = now.Add(replacementDelay - time.Millisecond)
+	assert.Equal(t, len(d.Next(now, model(), p.live(now))), 0, "the engine that it replaces has not left yet")
 	p.remove(now, "2")
 	tasks := d.Next(now, model(), p.live(now))
 	assert.Equal(t, len(tasks), 1)
@@ -114,7 +110,7 @@
 	assert.Assert(t, tasks[0].Layers.First <= rows[2].First && rows[2].End <= tasks[0].Layers.End, "%v", tasks[0].Layers)
 }
 
-func TestANewEngineThatReplacesNoneIsPlacedAfterAWhile(t *testing.T) {
+func TestAddedEngineIsPlacedAfterReplacementDelay(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var p pool
 	var d Desk
@@ -126,13 +122,13 @@
 	now = now.Add(time.Minute)
 	p.set(now, "new", pkid.Range{})
 	assert.Equal(t, len(d.Next(now, model(), p.live(now))), 0)
-	now = now.Add(replaceWait)
+	now = now.Add(replacementDelay)
 	assert.Equal(t, len(d.Next(now, model(), p.live(now))), 1)
 }
 
-// An engine is ordered, crashes while it loads and starts again under its id. Its entry is as
-// empty as before, and the order of before would count as under way for ten seconds more.
-func TestAnEngineThatStartsAgainIsOrderedAgain(t *testing.T) {
+// An engine that crashes while it loads and restarts under its ID looks as empty as before. The
+// order to its earlier start must not count as pending.
+func TestRestartedEngineIsOrderedAgain(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var p pool
 	var d Desk
@@ -140,20 +136,20 @@
 		first := pkid.Layer(5 * (i % 4))
 		p.set(now, fmt.Sprint(i), pkid.Range{First: first, End: first + 5})
 	}
-	born := func(b pkid.Birth) {
+	start := func(b pkid.Birth) {
 		p.revision++
 		info := pkreplica.Info{ID: "new", Service: "s", Addr: "new", DataCenter: "a", Kind: "x", Born: b}
 		p.roster.Apply(now, []pkreplica.Record{{Revision: p.revision, Info: info}}, p.revision)
 	}
-	born(1)
+	start(1)
 	d.Next(now, model(), p.live(now))
-	now = now.Add(replaceWait)
+	now = now.Add(replacementDelay)
 	tasks := d.Next(now, model(), p.live(now))
 	assert.Equal(t, len(tasks), 1)
 	d.Sent(now, model(), tasks[0], Begun)
 	assert.Equal(t, len(d.Next(now, model(), p.live(now))), 0)
-	born(2)
-	assert.Equal(t, len(d.Next(now, model(), p.live(now))), 0, "what it replaces may not have left yet")
-	now = now.Add(replaceWait)
+	start(2)
+	assert.Equal(t, len(d.Next(now, model(), p.live(now))), 0, "the engine that it replaces may not have left yet")
+	now = now.Add(replacementDelay)
 	assert.Equal(t, len(d.Next(now, model(), p.live(now))), 1)
 }
