--- a/pklease/lease_test.go
+++ b/pklease/lease_test.go
@@ -14,46 +14,44 @@
 
 var terms = Terms{TTL: 10 * time.Second, Margin: 2 * time.Second}
 
-// The answer to a grant is slow. The store counts from when it wrote the lease,
-// which was before the answer; an owner that counted from the answer would act
-// in time that it does not have, beside the next owner.
-func TestCountsFromBeforeTheRequest(t *testing.T) {
+// A lease must be measured from before the request: an owner that measured it from a slow reply
+// would act after the store had granted it to the next owner.
+func TestLeaseIsMeasuredFromBeforeTheRequest(t *testing.T) {
 	l := Lease{Terms: terms}
 	assert.Assert(t, !l.MayAct(start))
 	l.Began(start, 7)
 	assert.Assert(t, l.MayAct(start.Add(7999*time.Millisecond)))
 	assert.Assert(t, !l.MayAct(start.Add(8*time.Second)))
 	l.Renewed(start.Add(5 * time.Second))
-	l.Renewed(start.Add(3 * time.Second)) // an answer that was overtaken
+	l.Renewed(start.Add(3 * time.Second)) // a reply that arrives out of order
 	assert.Assert(t, l.MayAct(start.Add(12*time.Second)))
 	l.Lost()
 	l.Renewed(start.Add(6 * time.Second))
 	assert.Assert(t, !l.MayAct(start.Add(6*time.Second)))
 }
 
-// guards are the safeguards of the hand-over; the model below takes them away
-// one at a time to see that each is needed.
+// guards are the safeguards of a change of owner. The test also disables some of them.
 type guards struct {
-	// fenced: targets refuse a lower number.
+	// fenced: targets reject a lower fencing token.
 	fenced bool
-	// wait: a new owner waits before it orders, where targets do not refuse.
+	// wait: a new owner waits before it orders, where targets do not reject.
 	wait bool
-	// recheck: the owner looks at its lease again right before it sends.
+	// recheck: the owner checks its lease again right before it sends.
 	recheck bool
-	// reconcile: the owner reads back and orders again until it is met.
+	// reconcile: the owner reads back and orders again until the engine complies.
 	reconcile bool
-	// before: leases count from before the request.
-	before bool
+	// fromRequest: leases are measured from before the request.
+	fromRequest bool
 }
 
-// target is an engine that holds what the last order it took says.
+// target is an engine that holds what the last accepted order says.
 type target struct {
 	fenced bool
 	fence  pkid.Fence
 	holds  string
 }
 
-func (e *target) take(fence pkid.Fence, wants string) {
+func (e *target) accept(fence pkid.Fence, wants string) {
 	if e.fenced && fence < e.fence {
 		return
 	}
@@ -61,41 +59,40 @@
 	e.holds = wants
 }
 
-// world runs one interleaving: owner A plans an order and is paused; its lease
-// ends; B takes over and orders; A wakes and its order travels.
-type world struct {
+// scenario is one interleaving: owner A plans an order and is paused; its lease ends; B takes over
+// and orders; A resumes and its order arrives.
+type scenario struct {
 	guards
 	engine target
-	// times of what happens, after start.
-	answer, pause, travel, takeover time.Duration
-	// stall is a pause behind the last look at the lease, with the order in
-	// hand.
+	// The durations between the events, from start on.
+	reply, pause, latency, takeover time.Duration
+	// stall is a pause between the last check of the lease and the sending of the order.
 	stall time.Duration
 }
 
-// sent is an order on its way.
-type sent struct {
+// inFlight is an order on its way to the engine.
+type inFlight struct {
 	at    time.Time
 	fence pkid.Fence
 	wants string
 }
 
-func (w *world) run() string {
+func (w *scenario) run() string {
 	a := Lease{Terms: terms}
-	counted := start
-	if !w.before {
-		counted = start.Add(w.answer)
+	measuredFrom := start
+	if !w.fromRequest {
+		measuredFrom = start.Add(w.reply)
 	}
-	a.Began(counted, 1)
-	var orders []sent
-	checked := start.Add(w.answer)
+	a.Began(measuredFrom, 1)
+	var orders []inFlight
+	checked := start.Add(w.reply)
 	if a.MayAct(checked) {
 		at := checked.Add(w.pause)
 		if !w.recheck || a.MayAct(at) {
-			orders = append(orders, sent{at: at.Add(w.stall + w.travel), fence: 1, wants: "old"})
+			orders = append(orders, inFlight{at: at.Add(w.stall + w.latency), fence: 1, wants: "old"})
 		}
 	}
-	// The store ends A's lease TTL after it wrote it, at start at the latest.
+	// The store ends A's lease no earlier than its TTL after start.
 	began := start.Add(terms.TTL + w.takeover)
 	b := Lease{Terms: terms}
 	b.Began(began, 2)
@@ -103,11 +100,11 @@
 	for !b.MayOrder(first, w.fenced || !w.wait) {
 		first = first.Add(100 * time.Millisecond)
 	}
-	orders = append(orders, sent{at: first, fence: 2, wants: "new"})
+	orders = append(orders, inFlight{at: first, fence: 2, wants: "new"})
 	if w.reconcile {
-		// B reads back now and then for as long as it owns the pool.
+		// B reads back periodically for as long as it owns the pool.
 		for round := time.Second; round < time.Minute; round += time.Second {
-			orders = append(orders, sent{at: first.Add(round), fence: 2, wants: "new"})
+			orders = append(orders, inFlight{at: first.Add(round), fence: 2, wants: "new"})
 		}
 	}
 	w.engine.fenced = w.fenced
@@ -118,23 +115,22 @@
 				next = i
 			}
 		}
-		w.engine.take(orders[next].fence, orders[next].wants)
+		w.engine.accept(orders[next].fence, orders[next].wants)
 		orders = append(orders[:next], orders[next+1:]...)
 	}
 	return w.engine.holds
 }
 
-// count runs every interleaving of the model and counts those that end with
-// the old owner's order.
+// count runs every interleaving and counts those that end with the old owner's order.
 func count(g guards) (wrong, all int) {
 	steps := []time.Duration{0, time.Second, 3 * time.Second, 7 * time.Second, 9 * time.Second, 11 * time.Second, 30 * time.Second}
-	travels := []time.Duration{0, 500 * time.Millisecond, 1900 * time.Millisecond}
-	for _, answer := range steps[:4] {
+	latencies := []time.Duration{0, 500 * time.Millisecond, 1900 * time.Millisecond}
+	for _, reply := range steps[:4] {
 		for _, pause := range steps {
-			for _, travel := range travels {
+			for _, latency := range latencies {
 				for _, takeover := range []time.Duration{0, time.Second, 5 * time.Second} {
 					for _, stall := range steps {
-						w := world{guards: g, answer: answer, pause: pause, travel: travel, takeover: takeover, stall: stall}
+						w := scenario{guards: g, reply: reply, pause: pause, latency: latency, takeover: takeover, stall: stall}
 						all++
 						if w.run() != "new" {
 							wrong++
@@ -147,27 +143,26 @@
 	return wrong, all
 }
 
-// An owner is paused between its check and its order, for any time; another
-// takes the pool over and orders something newer; the old order arrives. In the
-// end the engine must hold what the new owner wants, in every interleaving,
-// whether engines refuse old numbers or not. Taking a safeguard away must show.
-func TestHandOverInAllInterleavings(t *testing.T) {
+// An owner may be paused for any time between its check and its order, while another takes over.
+// The engine must end with the new owner's order in every interleaving, with and without fencing.
+// With safeguards disabled the model must find interleavings that end otherwise.
+func TestOwnerChangeInAllInterleavings(t *testing.T) {
 	cases := []struct {
 		name string
 		guards
-		holds bool
+		safe bool
 	}{
-		{"engines refuse old numbers", guards{fenced: true, before: true}, true},
-		{"engines ignore numbers, all safeguards", guards{wait: true, recheck: true, reconcile: true, before: true}, true},
-		{"engines ignore numbers, nothing is reread", guards{wait: true, recheck: true, before: true}, false},
-		{"engines ignore numbers, no wait and no reread", guards{recheck: true, before: true}, false},
-		{"mutation: counted from the answer, no reread", guards{wait: true, recheck: true}, false},
-		{"mutation: no safeguard", guards{}, false},
+		{"engines reject old tokens", guards{fenced: true, fromRequest: true}, true},
+		{"engines ignore tokens, all safeguards", guards{wait: true, recheck: true, reconcile: true, fromRequest: true}, true},
+		{"engines ignore tokens, no reconciliation", guards{wait: true, recheck: true, fromRequest: true}, false},
+		{"engines ignore tokens, no wait and no reconciliation", guards{recheck: true, fromRequest: true}, false},
+		{"mutation: measured from the reply, no reconciliation", guards{wait: true, recheck: true}, false},
+		{"mutation: no safeguards", guards{}, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			wrong, all := count(c.guards)
-			assert.Equal(t, wrong == 0, c.holds, fmt.Sprintf("%d of %d interleavings end with the old order", wrong, all))
+			assert.Equal(t, wrong == 0, c.safe, fmt.Sprintf("%d of %d interleavings end with the old order", wrong, all))
 		})
 	}
 }
