--- a/pkreplica/doc.go
+++ b/pkreplica/doc.go
@@ -1,12 +1,11 @@
-// Package pkreplica holds what an entry knows of the replicas that serve: what
-// the platform's list says of each, and what this entry and its peers have seen.
+// Package pkreplica tracks the replicas that serve requests: the records of the platform's replica
+// list, and what this entry and its peers have observed of each replica.
 //
-// A replica may start again, under its id or under another at its address, and what its old
-// process wrote may come late. Each start is a Target of its own: what was seen of the one
-// before ends with it, and no late word brings it back.
+// A replica may restart under the same id, or under another id at the same address, and writes of
+// its previous process may arrive late. Each start has its own Target: a restart discards the
+// observations of the previous start, and late writes do not restore them.
 //
-// A Roster follows the list by revisions and never takes an older word for a
-// newer one, whichever way it comes. A Target adds what was seen: requests in
-// flight, the memory they hold, failures. Choosing is a function of both and of
-// the present time.
+// A Roster follows the list by revision and never replaces a newer record by an older one,
+// whichever way it arrives. A Target adds the observed state: requests in flight, the memory they
+// hold, failures. Selection depends on both and on the current time.
 package pkreplica
--- a/pkreplica/era_test.go
+++ b/pkreplica/era_test.go
@@ -15,81 +15,80 @@
 	"peridotknot.example/pkstore"
 )
 
-// entryAt is an entry as a replica wrote it with a count of heartbeats.
-func entryAt(e pkstore.Era, number uint64, id string, beats uint64, change func(*Info)) Record {
-	one := Record{Revision: pkstore.NewRevision(e, number), Beats: beats, Info: Info{ID: pkid.TargetID(id), Service: "s", Addr: id, Slots: 8}}
+// recordAt returns a replica's record in an era with a heartbeat count.
+func recordAt(e pkstore.Era, number uint64, id string, beats uint64, change func(*Info)) Record {
+	rec := Record{Revision: pkstore.NewRevision(e, number), Beats: beats, Info: Info{ID: pkid.TargetID(id), Service: "s", Addr: id, Slots: 8}}
 	if change != nil {
-		change(&one.Info)
+		change(&rec.Info)
 	}
-	return one
+	return rec
 }
 
-// The store comes back from a copy of some seconds before, in which a replica that leaves is still
-// ready, one that was given layers is empty, and one that has gone is there. Requests would go to
-// the first and the last, and the second would be ordered anew.
-func TestACopyOfTheListBringsNothingBack(t *testing.T) {
+// The store is restored from a copy in which a draining replica is still ready, one that has since
+// loaded layers is empty, and a deleted one exists. Guards against applying these older records.
+func TestRestoredStoreCopyRevertsNoRecord(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var r Roster
 	held := func(i *Info) { i.Held = pkid.Range{End: 8} }
 	leaves := func(i *Info) { i.Leaving = true }
-	old := []Record{entryAt(1, 10, "leaves", 5, nil), entryAt(1, 11, "loaded", 5, nil), entryAt(1, 12, "gone", 5, nil)}
+	old := []Record{recordAt(1, 10, "leaves", 5, nil), recordAt(1, 11, "loaded", 5, nil), recordAt(1, 12, "gone", 5, nil)}
 	r.Replace(now, old, pkstore.NewRevision(1, 12))
 	r.Apply(now, []Record{
-		entryAt(1, 13, "leaves", 8, leaves), entryAt(1, 14, "loaded", 8, held),
+		recordAt(1, 13, "leaves", 8, leaves), recordAt(1, 14, "loaded", 8, held),
 		{Revision: pkstore.NewRevision(1, 15), Info: Info{ID: "gone"}, Deleted: true},
 	}, pkstore.NewRevision(1, 15))
 
 	now = now.Add(time.Second)
-	back := []Record{entryAt(2, 10, "leaves", 5, nil), entryAt(2, 11, "loaded", 5, nil), entryAt(2, 12, "gone", 5, nil)}
-	assert.Equal(t, len(r.Replace(now, back, pkstore.NewRevision(2, 12))), 0)
+	restored := []Record{recordAt(2, 10, "leaves", 5, nil), recordAt(2, 11, "loaded", 5, nil), recordAt(2, 12, "gone", 5, nil)}
+	assert.Equal(t, len(r.Replace(now, restored, pkstore.NewRevision(2, 12))), 0)
 	live := r.Live(now, "s")
 	assert.Equal(t, len(live), 1)
 	assert.Equal(t, live[0].ID, pkid.TargetID("loaded"))
 	assert.Equal(t, live[0].Held.Len(), 8)
 
-	// What the replicas write again has a number that was given out before, and counts.
-	r.Apply(now, []Record{entryAt(2, 13, "loaded", 9, nil), entryAt(2, 14, "gone", 6, nil)}, pkstore.NewRevision(2, 14))
+	// Records written after the restore reuse revision numbers and must still be applied.
+	r.Apply(now, []Record{recordAt(2, 13, "loaded", 9, nil), recordAt(2, 14, "gone", 6, nil)}, pkstore.NewRevision(2, 14))
 	live = r.Live(now, "s")
 	assert.Equal(t, len(live), 2)
 	assert.Equal(t, live[1].Held.Len(), 0)
 }
 
-// Replicas that came after the copy was made are not in it. They live, and write themselves again
-// within two seconds; taken for gone at once, a pool that was just renewed would be empty.
-func TestReplicasThatTheCopyLacksStayForAWhile(t *testing.T) {
+// Live replicas that started after the copy was made are missing from it. Guards against treating
+// them as deleted before they have written their records again.
+func TestReplicasMissingFromRestoredCopyGetGracePeriod(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var r Roster
-	r.Replace(now, []Record{entryAt(1, 10, "new", 1, nil), entryAt(1, 11, "ended", 1, nil)}, pkstore.NewRevision(1, 11))
+	r.Replace(now, []Record{recordAt(1, 10, "new", 1, nil), recordAt(1, 11, "ended", 1, nil)}, pkstore.NewRevision(1, 11))
 	r.Replace(now, nil, pkstore.NewRevision(2, 3))
 	assert.Equal(t, len(r.Live(now, "s")), 2)
 	now = now.Add(time.Second)
-	r.Apply(now, []Record{entryAt(2, 4, "new", 2, nil)}, pkstore.NewRevision(2, 4))
+	r.Apply(now, []Record{recordAt(2, 4, "new", 2, nil)}, pkstore.NewRevision(2, 4))
 	assert.Equal(t, len(r.Live(now, "s")), 2)
-	now = now.Add(lapseGrace)
+	now = now.Add(deletionGrace)
 	live := r.Live(now, "s")
-	assert.Equal(t, len(live), 1, "what was not written again has ended")
+	assert.Equal(t, len(live), 1, "a record not written again counts as deleted")
 	assert.Equal(t, live[0].ID, pkid.TargetID("new"))
 }
 
-// A replica has started again while the store was away. It counts its heartbeats from one, and
-// holds nothing: what was known of the start before says nothing of it.
-func TestALaterStartCountsInALaterEra(t *testing.T) {
+// A replica restarts during a store outage, with a heartbeat count that begins again. Guards
+// against keeping the layers of the previous start because of its higher count.
+func TestRestartInLaterEraReplacesRecord(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var r Roster
 	born := func(b pkid.Birth, layers pkid.Layer) func(*Info) {
 		return func(i *Info) { i.Born, i.Held = b, pkid.Range{End: layers} }
 	}
-	r.Replace(now, []Record{entryAt(1, 10, "r", 50, born(5, 8))}, pkstore.NewRevision(1, 10))
-	r.Replace(now, []Record{entryAt(2, 4, "r", 1, born(6, 0))}, pkstore.NewRevision(2, 4))
+	r.Replace(now, []Record{recordAt(1, 10, "r", 50, born(5, 8))}, pkstore.NewRevision(1, 10))
+	r.Replace(now, []Record{recordAt(2, 4, "r", 1, born(6, 0))}, pkstore.NewRevision(2, 4))
 	live := r.Live(now, "s")
 	assert.Equal(t, len(live), 1)
 	assert.Equal(t, live[0].Held.Len(), 0)
 	assert.Equal(t, live[0].Born, pkid.Birth(6))
 }
 
-// eraModel plays replicas that come, change, leave and end, and a store that comes back from
-// copies, and tells a roster what it would hear: changes in their order, lists, and late changes
-// of eras that have ended.
+// eraModel simulates replicas that start, change, drain and end, and a store that is restored from
+// copies. It generates what a roster receives: changes in order, lists, and late changes of
+// previous eras.
 type eraModel struct {
 	rand   *rand.Rand
 	era    pkstore.Era
@@ -97,7 +96,7 @@
 	items  map[pkid.TargetID]Record
 	copies []eraCopy
 	late   []Record
-	// live is what each replica is now, by what it knows itself.
+	// live is the actual state of each replica.
 	live map[pkid.TargetID]Record
 	next int
 }
@@ -107,18 +106,18 @@
 	items  map[pkid.TargetID]Record
 }
 
-func (m *eraModel) write(one Record) Record {
+func (m *eraModel) write(rec Record) Record {
 	m.number++
-	one.Revision = pkstore.NewRevision(m.era, m.number)
-	if one.Deleted {
-		delete(m.items, one.Info.ID)
+	rec.Revision = pkstore.NewRevision(m.era, m.number)
+	if rec.Deleted {
+		delete(m.items, rec.Info.ID)
 	} else {
-		m.items[one.Info.ID] = one
+		m.items[rec.Info.ID] = rec
 	}
 	if m.rand.IntN(4) == 0 {
-		m.late = append(m.late, one)
+		m.late = append(m.late, rec)
 	}
-	return one
+	return rec
 }
 
 func (m *eraModel) list() []Record {
@@ -137,63 +136,63 @@
 	return m.live[ids[m.rand.IntN(len(ids))]], true
 }
 
-// step changes one thing and returns what a watch would tell of it.
+// step makes one change and returns the records that a watch would deliver.
 func (m *eraModel) step() []Record {
 	if m.rand.IntN(3) == 0 || len(m.live) == 0 {
 		m.next++
-		one := entryAt(0, 0, fmt.Sprintf("r%03d", m.next), 1, nil)
-		m.live[one.Info.ID] = one
-		return []Record{m.write(one)}
+		rec := recordAt(0, 0, fmt.Sprintf("r%03d", m.next), 1, nil)
+		m.live[rec.Info.ID] = rec
+		return []Record{m.write(rec)}
 	}
-	one, _ := m.pick()
+	rec, _ := m.pick()
 	switch m.rand.IntN(3) {
 	case 0:
-		delete(m.live, one.Info.ID)
-		return []Record{m.write(Record{Info: Info{ID: one.Info.ID}, Deleted: true})}
+		delete(m.live, rec.Info.ID)
+		return []Record{m.write(Record{Info: Info{ID: rec.Info.ID}, Deleted: true})}
 	case 1:
-		one.Info.Leaving = true
+		rec.Info.Leaving = true
 	default:
-		one.Info.Held = pkid.Range{End: pkid.Layer(1 + m.rand.IntN(8))}
+		rec.Info.Held = pkid.Range{End: pkid.Layer(1 + m.rand.IntN(8))}
 	}
-	one.Beats++
-	m.live[one.Info.ID] = one
-	return []Record{m.write(one)}
+	rec.Beats++
+	m.live[rec.Info.ID] = rec
+	return []Record{m.write(rec)}
 }
 
-// comeBack returns the store to a copy and has the replicas write themselves again later.
-func (m *eraModel) comeBack() {
+// restore starts a new era from a random copy.
+func (m *eraModel) restore() {
 	m.era++
 	from := m.copies[m.rand.IntN(len(m.copies))]
 	m.number, m.items, m.copies = from.number, map[pkid.TargetID]Record{}, nil
-	for id, one := range from.items {
-		one.Revision = pkstore.NewRevision(m.era, one.Revision.Number())
-		m.items[id] = one
+	for id, rec := range from.items {
+		rec.Revision = pkstore.NewRevision(m.era, rec.Revision.Number())
+		m.items[id] = rec
 	}
 }
 
-// check says what a roster has wrong of replicas that leave or have ended.
+// check asserts that no draining or ended replica is used and that every live one is.
 func (m *eraModel) check(t *testing.T, r *Roster, now time.Time, seed uint64, settled bool) {
 	t.Helper()
 	used := map[pkid.TargetID]bool{}
-	for _, one := range r.Live(now, "s") {
-		used[one.ID] = true
-		truth, lives := m.live[one.ID]
-		assert.Assert(t, !truth.Info.Leaving, "seed %d: %s leaves and is used", seed, one.ID)
-		assert.Assert(t, lives || !settled, "seed %d: %s has ended and is used", seed, one.ID)
-		assert.Assert(t, !settled || one.Held == truth.Info.Held, "seed %d: %s holds %v, not %v", seed, one.ID, truth.Info.Held, one.Held)
+	for _, target := range r.Live(now, "s") {
+		used[target.ID] = true
+		truth, lives := m.live[target.ID]
+		assert.Assert(t, !truth.Info.Leaving, "seed %d: %s is draining but used", seed, target.ID)
+		assert.Assert(t, lives || !settled, "seed %d: %s has ended but is used", seed, target.ID)
+		assert.Assert(t, !settled || target.Held == truth.Info.Held, "seed %d: %s holds layers %v, roster has %v", seed, target.ID, truth.Info.Held, target.Held)
 	}
 	for id, truth := range m.live {
-		assert.Assert(t, used[id] || truth.Info.Leaving, "seed %d: %s lives and is not used", seed, id)
+		assert.Assert(t, used[id] || truth.Info.Leaving, "seed %d: %s is live but not used", seed, id)
 	}
 }
 
-// schedules is how many seeds TestTheListIsFollowedOverEras plays, 40 steps each.
-var schedules = flag.Uint64("schedules", 300, "schedules of a list that is followed over eras")
+// schedules is the number of seeds of TestRosterFollowsListAcrossEras, 40 steps each.
+var schedules = flag.Uint64("schedules", 300, "number of random schedules of a list followed across eras")
 
-// A list is followed over several returns of the store, with late answers of eras that have ended.
-// At no moment may a replica that was known to leave be used, or one that lives be left out, and
-// once all have written themselves again nothing else counts.
-func TestTheListIsFollowedOverEras(t *testing.T) {
+// Follows a list over several restores of the store, with late changes of previous eras. Guards
+// against using a replica known to drain, leaving out a live one, and, once all replicas have
+// written their records again, any state that differs from theirs.
+func TestRosterFollowsListAcrossEras(t *testing.T) {
 	for seed := range *schedules {
 		m := &eraModel{rand: rand.New(rand.NewPCG(seed, 7)), era: 1, items: map[pkid.TargetID]Record{}, live: map[pkid.TargetID]Record{}}
 		now := time.Unix(1000, 0)
@@ -211,21 +210,21 @@
 			if m.rand.IntN(12) != 0 || len(m.copies) == 0 {
 				continue
 			}
-			m.comeBack()
+			m.restore()
 			r.Replace(now, m.list(), pkstore.NewRevision(m.era, m.number))
 			m.check(t, &r, now, seed, false)
 			for _, id := range slices.Sorted(maps.Keys(m.live)) {
-				one := m.live[id]
-				one.Beats++
-				m.live[id] = one
-				r.Apply(now, []Record{m.write(one)}, pkstore.NewRevision(m.era, m.number))
+				rec := m.live[id]
+				rec.Beats++
+				m.live[id] = rec
+				r.Apply(now, []Record{m.write(rec)}, pkstore.NewRevision(m.era, m.number))
 			}
 			for _, id := range slices.Sorted(maps.Keys(m.items)) {
 				if _, lives := m.live[id]; !lives {
 					r.Apply(now, []Record{m.write(Record{Info: Info{ID: id}, Deleted: true})}, pkstore.NewRevision(m.era, m.number))
 				}
 			}
-			now = now.Add(lapseGrace)
+			now = now.Add(deletionGrace)
 			m.check(t, &r, now, seed, true)
 		}
 	}
--- a/pkreplica/info.go
+++ b/pkreplica/info.go
@@ -6,33 +6,33 @@
 	"peridotknot.example/pkid"
 )
 
-// Info is what the platform's list says of a replica.
+// Info is the platform's description of a replica in the list.
 type Info struct {
 	ID         pkid.TargetID
 	Service    pkid.ServiceID
 	Addr       string
 	DataCenter pkid.DataCenter
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests the replica runs concurrently.
 	Slots int
-	// Leaving replicas take nothing new and end soon.
+	// Leaving marks a draining replica: it takes no new requests and stops soon.
 	Leaving bool
 	// Kind is the accelerator of an engine; empty for plain services.
 	Kind pkid.Kind
-	// Held is the layers that an engine can run.
+	// Held is the range of layers that an engine can run.
 	Held pkid.Range
-	// Born tells this start of the replica from others under the same id.
+	// Born distinguishes this start of the replica from others under the same id.
 	Born pkid.Birth
 }
 
-// InvalidError says why an entry of the list names no replica to use.
+// InvalidError reports a list record that does not describe a usable replica.
 type InvalidError struct {
-	// Field is what was missing, of another type or out of range.
+	// Field is the field that is missing, of the wrong type or out of range.
 	Field string
 	Err   error
 }
 
-// Error returns the field and what is wrong with it.
+// Error returns the field and its error.
 func (e *InvalidError) Error() string { return fmt.Sprintf("%s: %v", e.Field, e.Err) }
 
-// Unwrap returns what is wrong with the field.
+// Unwrap returns the error of the field.
 func (e *InvalidError) Unwrap() error { return e.Err }
--- a/pkreplica/roster.go
+++ b/pkreplica/roster.go
@@ -11,65 +11,65 @@
 	"peridotknot.example/pkstore"
 )
 
-// Record is one replica's entry in the list at a revision of the store.
+// Record is the record of one replica in the list at a revision of the store. Peers exchange it
+// encoded under its field names.
 type Record struct {
 	Revision pkstore.Revision
 	Info     Info
-	// Beats is how many heartbeats the replica had written since its start.
+	// Beats is the number of heartbeats the replica has written since its start.
 	Beats uint64
-	// Deleted says that the entry is gone; Info then has only its ID and, as far as they are
-	// known, the start that it was of. Beats then is the count that was last known.
+	// Deleted marks a deleted record. Info then holds only the ID and, if known, the start that the
+	// record belonged to; Beats holds the last known count.
 	Deleted bool
-	// Unusable is the field that keeps an entry which is there from naming a replica; Deleted
-	// is set with it.
+	// Unusable names the invalid field of a record that exists but does not describe a usable
+	// replica. Deleted is set with it.
 	Unusable string
 }
 
-// Roster is the replicas that the list names; the zero value is empty.
+// Roster is the set of replicas in the list; the zero value is empty.
 type Roster struct {
 	mu      sync.RWMutex
 	records map[pkid.TargetID]Record
 	targets map[pkid.TargetID]*Target
-	// origins is how each id came to be known.
+	// origins records how each id was first learned.
 	origins map[pkid.TargetID]origin
-	// all keeps the targets sorted by id, order the same by service. Neither slice changes once it
-	// is made.
-	all   []*Target
-	order map[pkid.ServiceID][]*Target
-	// ended is the addresses of processes that are gone for good.
-	ended []string
-	at    pkstore.Revision
-	// era is the newest era of the store that is known.
-	era      pkstore.Era
-	returned time.Time
-	// away says that the list cannot be followed, lost since when.
-	away bool
-	lost time.Time
-}
-
-// Apply takes records, older ones are passed over; at is the store's revision
-// that the list is known up to. It returns the records that changed something.
+	// all holds the targets sorted by id, byService the same grouped by service. Both slices are
+	// replaced, never modified.
+	all       []*Target
+	byService map[pkid.ServiceID][]*Target
+	// ended holds the addresses of processes that are known to have ended.
+	ended    []string
+	revision pkstore.Revision
+	// era is the newest known era of the store.
+	era        pkstore.Era
+	returnedAt time.Time
+	// unavailable is set while the list cannot be followed, since lostAt.
+	unavailable bool
+	lostAt      time.Time
+}
+
+// Apply applies records, ignoring older ones, and returns those that changed something. at is the
+// store revision up to which the list is then known.
 func (r *Roster) Apply(now time.Time, records []Record, at pkstore.Revision) []Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.enter(now, at.Era())
+	r.enterEra(now, at.Era())
 	var changed []Record
-	for _, one := range records {
-		r.enter(now, one.Revision.Era())
-		if r.apply(now, one) {
-			changed = append(changed, one)
+	for _, rec := range records {
+		r.enterEra(now, rec.Revision.Era())
+		if r.apply(now, rec) {
+			changed = append(changed, rec)
 		}
 	}
-	r.at = max(r.at, at)
+	r.revision = max(r.revision, at)
 	if len(changed) > 0 {
-		r.sort()
+		r.rebuildIndex()
 	}
 	return changed
 }
 
-// Learn takes what another entry knows of the list between two revisions; it returns
-// the records that changed something. The list counts as known up to the second one
-// only where it was known up to the first.
+// Learn applies the records of a peer's list between two revisions and returns those that changed
+// something. The list counts as known up to at only if it was known up to after.
 func (r *Roster) Learn(now time.Time, records []Record, after, at pkstore.Revision) []Record {
 	if r.At() < after {
 		at = 0
@@ -77,11 +77,11 @@
 	return r.Apply(now, records, at)
 }
 
-// Replace takes a whole list at a revision: what it does not name is gone.
+// Replace applies a complete list at a revision: replicas not in it are deleted.
 func (r *Roster) Replace(now time.Time, records []Record, at pkstore.Revision) []Record {
 	named := map[pkid.TargetID]bool{}
-	for _, one := range records {
-		named[one.Info.ID] = true
+	for _, rec := range records {
+		named[rec.Info.ID] = true
 	}
 	r.mu.RLock()
 	for id, old := range r.records {
@@ -93,124 +93,125 @@
 	return r.Apply(now, records, at)
 }
 
-// enter notes at now that the store is in an era. One that has come back from an older copy lacks
-// what replicas wrote since; they write it again, and live meanwhile.
-func (r *Roster) enter(now time.Time, e pkstore.Era) {
+// enterEra advances to a newer era of the store. A store restored from an older copy lacks the
+// latest records of live replicas until they write them again, so the deletion grace period starts.
+func (r *Roster) enterEra(now time.Time, e pkstore.Era) {
 	if e <= r.era {
 		return
 	}
 	if r.era != 0 || len(r.records) > 0 {
-		r.returned = now
+		r.returnedAt = now
 	}
 	r.era = e
 }
 
-// saysLess says whether a record is of a later era and yet older than one that is known: the copy
-// that the store came back from has the entry as it was some seconds before. A replica that left
-// since would get requests again, one that is gone would come back to life, and one that was given
-// layers would count as empty. What the replica writes itself has a higher count of heartbeats.
-func (one Record) saysLess(known Record) bool {
-	return one.Revision.Era() > known.Revision.Era() && !one.Deleted &&
-		one.Info.Born == known.Info.Born && one.Beats <= known.Beats
+// isOlderCopyOf reports whether a record of a later era is older than the known record: the store
+// was restored from a copy that holds an earlier state of it. Applying it would make a draining
+// replica take requests again, bring back a deleted one, or reset the layers an engine holds. A
+// record that the replica wrote after the restore has a higher heartbeat count.
+func (rec Record) isOlderCopyOf(known Record) bool {
+	return rec.Revision.Era() > known.Revision.Era() && !rec.Deleted &&
+		rec.Info.Born == known.Info.Born && rec.Beats <= known.Beats
 }
 
-func (r *Roster) apply(now time.Time, one Record) bool {
-	id := one.Info.ID
+func (r *Roster) apply(now time.Time, rec Record) bool {
+	id := rec.Info.ID
 	old, found := r.records[id]
-	if found && one.Revision <= old.Revision {
+	if found && rec.Revision <= old.Revision {
 		return false
 	}
-	r.know(one, found)
+	r.recordOrigin(rec, found)
 	t := r.targets[id]
-	if t != nil && !one.Deleted && after(t.Born, one.Info.Born) {
-		// Written late by an earlier start: what the present one said still holds.
-		old.Revision = one.Revision
+	if t != nil && !rec.Deleted && isLaterStart(t.Born, rec.Info.Born) {
+		// A late write of an earlier start: the record of the present start still applies.
+		old.Revision = rec.Revision
 		r.records[id] = old
 		return false
 	}
-	if t != nil && one.Info.Born == 0 {
-		one.Info.Born = t.Born
+	if t != nil && rec.Info.Born == 0 {
+		rec.Info.Born = t.Born
 	}
-	if found && one.saysLess(old) {
-		old.Revision = one.Revision
+	if found && rec.isOlderCopyOf(old) {
+		old.Revision = rec.Revision
 		r.records[id] = old
 		return false
 	}
-	if one.Deleted {
-		one.Beats = max(one.Beats, old.Beats)
+	if rec.Deleted {
+		rec.Beats = max(rec.Beats, old.Beats)
 	}
-	r.records[id] = one
-	if one.Deleted {
-		return lapse(now, t, old, one)
+	r.records[id] = rec
+	if rec.Deleted {
+		return applyDeletion(now, t, old, rec)
 	}
-	return r.update(now, t, old, one)
+	return r.update(now, t, old, rec)
 }
 
-// update takes what a record says of a target that may be known, and says whether that is new.
-func (r *Roster) update(now time.Time, t *Target, old, one Record) bool {
-	id := one.Info.ID
+// update applies a record that is not deleted to its target, which is nil if unknown, and reports
+// whether the record changed anything.
+func (r *Roster) update(now time.Time, t *Target, old, rec Record) bool {
+	id := rec.Info.ID
 	switch {
 	case t == nil:
-		r.targets[id] = &Target{Info: one.Info, seen: &seen{}}
-	case after(one.Info.Born, t.Born):
-		r.restart(t, one.Info)
-	case t.Info != one.Info:
-		r.targets[id] = &Target{Info: one.Info, seen: t.seen}
-		r.targets[id].back(one.Info.Held != t.Held)
+		r.targets[id] = &Target{Info: rec.Info, state: &state{}}
+	case isLaterStart(rec.Info.Born, t.Born):
+		r.restart(t, rec.Info)
+	case t.Info != rec.Info:
+		r.targets[id] = &Target{Info: rec.Info, state: t.state}
+		r.targets[id].markPresent(rec.Info.Held != t.Held)
 	default:
-		t.back(false)
+		t.markPresent(false)
 		return old.Deleted
 	}
-	if one.Info.Leaving {
-		r.targets[id].leaves(now)
+	if rec.Info.Leaving {
+		r.targets[id].markLeaving(now)
 	}
 	return true
 }
 
-func (r *Roster) sort() {
-	r.order = map[pkid.ServiceID][]*Target{}
+func (r *Roster) rebuildIndex() {
+	r.byService = map[pkid.ServiceID][]*Target{}
 	r.all = slices.SortedFunc(maps.Values(r.targets), func(a, b *Target) int { return cmp.Compare(a.ID, b.ID) })
 	for _, t := range r.all {
-		r.order[t.Service] = append(r.order[t.Service], t)
+		r.byService[t.Service] = append(r.byService[t.Service], t)
 	}
-	r.displace(r.all)
+	r.updateDisplaced(r.all)
 }
 
-// At returns the store's revision that the list is known up to.
+// At returns the store revision up to which the list is known.
 func (r *Roster) At() pkstore.Revision {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return r.at
+	return r.revision
 }
 
-// Since returns the records after a revision.
+// Since returns the records newer than a revision, ordered by revision.
 func (r *Roster) Since(rev pkstore.Revision) []Record {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	var out []Record
-	for _, one := range r.records {
-		if one.Revision > rev {
-			out = append(out, one)
+	for _, rec := range r.records {
+		if rec.Revision > rev {
+			out = append(out, rec)
 		}
 	}
 	slices.SortFunc(out, func(a, b Record) int { return cmp.Compare(a.Revision, b.Revision) })
 	return out
 }
 
-// Live returns the targets of a service that take new work at now.
+// Live returns the targets of a service that accept new requests at now.
 func (r *Roster) Live(now time.Time, s pkid.ServiceID) []*Target {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	var out []*Target
-	for _, t := range r.order[s] {
-		if !t.Leaving && !r.gone(now, t) {
+	for _, t := range r.byService[s] {
+		if !t.Leaving && !r.removed(now, t) {
 			out = append(out, t)
 		}
 	}
 	return out
 }
 
-// All returns all targets, also those that are gone, sorted by id; the caller must not change the
+// All returns all targets sorted by id, including removed ones; the caller must not modify the
 // slice.
 func (r *Roster) All() []*Target {
 	r.mu.RLock()
@@ -218,7 +219,7 @@
 	return r.all
 }
 
-// Target returns a target by its id.
+// Target returns the target with the given id.
 func (r *Roster) Target(id pkid.TargetID) (*Target, bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -226,27 +227,27 @@
 	return t, found
 }
 
-// Choose returns the live target of a service with the shortest expected wait
-// that is none of avoid. If all that is left is passed over for failures, it
-// returns the one whose pause ends first: some answer may still come.
+// Choose returns the live target of a service with the shortest expected wait that is not in avoid.
+// If every remaining target is avoided for failures, it returns the one whose avoidance ends first,
+// since it may still answer.
 func (r *Roster) Choose(now time.Time, s pkid.ServiceID, avoid []pkid.TargetID) (*Target, bool) {
-	var best, worst *Target
+	var best, fallback *Target
 	for _, t := range r.Live(now, s) {
 		if slices.Contains(avoid, t.ID) {
 			continue
 		}
 		if t.Avoided(now) {
-			if worst == nil || t.until().Before(worst.until()) {
-				worst = t
+			if fallback == nil || t.avoidedUntil().Before(fallback.avoidedUntil()) {
+				fallback = t
 			}
 			continue
 		}
-		if best == nil || t.wait(now) < best.wait(now) {
+		if best == nil || t.expectedWait(now) < best.expectedWait(now) {
 			best = t
 		}
 	}
 	if best == nil {
-		best = worst
+		best = fallback
 	}
 	return best, best != nil
 }
--- a/pkreplica/start.go
+++ b/pkreplica/start.go
@@ -7,74 +7,74 @@
 	"peridotknot.example/pkstore"
 )
 
-// origin is how a roster came to know of an id.
+// origin records how a roster first learned of an id.
 type origin struct {
-	// at is the revision of its first record.
+	// at is the revision of the first record.
 	at pkstore.Revision
-	// listed says that it stood in the first list, whose order says nothing.
-	listed bool
+	// inFirstList is set if the id was in the first list, whose order does not reflect start order.
+	inFirstList bool
 }
 
-// after says whether a birth is known to be that of a later start.
-func after(a, b pkid.Birth) bool { return b != 0 && a > b }
+// isLaterStart reports whether a is known to be the birth of a later start than b.
+func isLaterStart(a, b pkid.Birth) bool { return b != 0 && a > b }
 
-// know notes an id that was not known before.
-func (r *Roster) know(one Record, known bool) {
+// recordOrigin records the origin of an id that was not known before.
+func (r *Roster) recordOrigin(rec Record, known bool) {
 	if r.records == nil {
 		r.records = map[pkid.TargetID]Record{}
 		r.targets = map[pkid.TargetID]*Target{}
 		r.origins = map[pkid.TargetID]origin{}
 	}
 	if !known {
-		r.origins[one.Info.ID] = origin{at: one.Revision, listed: r.at == 0}
+		r.origins[rec.Info.ID] = origin{at: rec.Revision, inFirstList: r.revision == 0}
 	}
 }
 
-// Restarted takes a birth that a replica told itself and says whether it is of a later start
-// than the one that is known. The replica counts as holding nothing until its entry says
-// otherwise, and all that was seen of it before ends.
+// Restarted takes a birth reported by the replica itself and reports whether it is of a later start
+// than the known one. If so, the observations of the previous start are discarded, and the replica
+// counts as holding no layers until its record lists some.
 func (r *Roster) Restarted(id pkid.TargetID, born pkid.Birth) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.targets[id]
-	if t == nil || !after(born, t.Born) {
+	if t == nil || !isLaterStart(born, t.Born) {
 		return false
 	}
 	info := t.Info
 	info.Born, info.Held = born, pkid.Range{}
 	r.restart(t, info)
-	r.sort()
+	r.rebuildIndex()
 	return true
 }
 
-// restart puts a new start in the place of a target. Requests in flight, memory, failures and
-// whether it left belong to the old one: kept, an engine that came back empty counted as
-// half full, and one that had left before was never used again.
+// restart replaces a target by one for a new start. Requests in flight, memory, failures and
+// draining belong to the previous start: carried over, they would make an empty engine look loaded
+// or keep it from use.
 func (r *Roster) restart(t *Target, info Info) {
-	t.end()
+	t.markEnded()
 	r.ended = append(r.ended, t.Addr)
-	r.targets[info.ID] = &Target{Info: info, seen: &seen{restarted: true}}
+	r.targets[info.ID] = &Target{Info: info, state: &state{restarted: true}}
 }
 
-// end notes that the process of this start is gone for good.
-func (t *Target) end() {
+// markEnded records that the process of this start has ended.
+func (t *Target) markEnded() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.ended = true
 }
 
-// Restarted says whether another start was known under the same id before this one.
+// Restarted reports whether an earlier start was known under the same id.
 func (t *Target) Restarted() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.restarted
 }
 
-// displace finds the targets whose address a process has that started later. An engine that
-// was cut off from the store starts again under another id, and what its old process had
-// written comes through late and lists it again: half of all paths then named an engine
-// twice or one that holds nothing, and 45 of 100 requests were refused for twenty seconds.
-func (r *Roster) displace(all []*Target) {
+// updateDisplaced marks the targets whose address belongs to a process that started later. An
+// engine cut off from the store may restart under another id while a late write of its previous
+// process lists the old id again; paths would then include one engine twice or one that holds no
+// layers.
+func (r *Roster) updateDisplaced(all []*Target) {
 	holders := map[string]*Target{}
 	for _, t := range all {
 		if t.Addr == "" || r.records[t.ID].Deleted {
@@ -92,8 +92,8 @@
 	}
 }
 
-// setDisplaced notes whether another process has the target's address and says whether that
-// is new.
+// setDisplaced sets whether another process has the target's address and reports whether the target
+// was newly displaced.
 func (t *Target) setDisplaced(is bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -102,26 +102,26 @@
 	return is && !before
 }
 
-// startedAfter says whether a started after b, both of them listed at one address. The id that
-// came to be known later is that of the later start, since what an old process wrote names an
-// id that is known. Of two that stood in the first list, the one with fewer heartbeats is.
+// startedAfter reports whether a started after b, both listed at the same address. Without births,
+// the id that was learned later started later, since late writes of an old process name a known id.
+// If both were in the first list, the one with fewer heartbeats started later.
 func (r *Roster) startedAfter(a, b *Target) bool {
 	if a.Born != 0 && b.Born != 0 && a.Born != b.Born {
 		return a.Born > b.Born
 	}
 	x, y := r.origins[a.ID], r.origins[b.ID]
 	switch {
-	case x.listed && y.listed:
+	case x.inFirstList && y.inFirstList:
 		fewer := cmp.Compare(r.records[b.ID].Beats, r.records[a.ID].Beats)
 		return cmp.Or(fewer, cmp.Compare(x.at, y.at)) > 0
-	case x.listed != y.listed:
-		return y.listed
+	case x.inFirstList != y.inFirstList:
+		return y.inFirstList
 	default:
 		return x.at > y.at
 	}
 }
 
-// Ended returns the addresses that processes have left to others since it was last asked.
+// Ended returns the addresses of processes that have ended since the last call.
 func (r *Roster) Ended() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,7 +130,7 @@
 	return out
 }
 
-// Revision returns the revision of the entry that is known of a target.
+// Revision returns the revision of a target's record.
 func (r *Roster) Revision(id pkid.TargetID) pkstore.Revision {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/pkreplica/start_test.go
+++ b/pkreplica/start_test.go
@@ -11,22 +11,21 @@
 )
 
 func bornAt(rev pkstore.Revision, id pkid.TargetID, born pkid.Birth) Record {
-	one := record(rev, id)
-	one.Info.Born = born
-	return one
+	rec := record(rev, id)
+	rec.Info.Born = born
+	return rec
 }
 
-// at returns a record of a replica at an address, with its count of heartbeats.
-func at(rev pkstore.Revision, id pkid.TargetID, addr string, beats uint64) Record {
-	one := record(rev, id)
-	one.Info.Addr, one.Beats = addr, beats
-	return one
+// recordAtAddr returns the record of a replica at an address with a heartbeat count.
+func recordAtAddr(rev pkstore.Revision, id pkid.TargetID, addr string, beats uint64) Record {
+	rec := record(rev, id)
+	rec.Info.Addr, rec.Beats = addr, beats
+	return rec
 }
 
-// An engine crashes and starts again under its id. Callers whose streams pass through it wait
-// until it is known; new ones are kept away from it by what was seen of the start before: its
-// failures, its memory, that it was leaving. All of that ends with the new birth.
-func TestANewBirthEndsWhatWasSeen(t *testing.T) {
+// An engine restarts under its id. Guards against keeping the failures, memory and draining state
+// of the previous start, which would keep requests away from the new one.
+func TestRestartDiscardsState(t *testing.T) {
 	var r Roster
 	old := bornAt(1, "a", 100)
 	old.Info.Leaving = true
@@ -34,25 +33,25 @@
 	before, _ := r.Target("a")
 	before.Begin(start, 10, 0, time.Second)
 	before.Gone(start.Add(time.Hour))
-	assert.Equal(t, live(&r, start), 0)
+	assert.Equal(t, liveCount(&r, start), 0)
 
 	r.Apply(start, []Record{bornAt(2, "a", 200)}, 2)
 	now, _ := r.Target("a")
-	assert.Equal(t, live(&r, start), 1)
-	assert.Assert(t, before.IsGone(start.Add(2*time.Hour)), "what passed through the old start is lost")
+	assert.Equal(t, liveCount(&r, start), 1)
+	assert.Assert(t, before.IsGone(start.Add(2*time.Hour)), "the previous process has ended")
 	assert.Assert(t, !now.IsGone(start) && !now.Avoided(start) && now.Restarted())
 	assert.Equal(t, now.Own(), Load{})
 	assert.Equal(t, r.LeavingFor(start.Add(time.Second), now), time.Duration(0))
 	before.Done(10)
-	assert.Equal(t, now.Own(), Load{}, "the end of an old request takes nothing off the new start")
+	assert.Equal(t, now.Own(), Load{}, "ending a request of the previous start does not change the load of the new one")
 	assert.DeepEqual(t, r.Ended(), []string{"a"})
 	assert.Equal(t, len(r.Ended()), 0)
 }
 
-// A write of the old process comes through after the new one has registered. Believed, the
-// engine would be sent requests for layers that it lost. An entry without a birth counts by
-// its revision, as those of replicas that do not say it.
-func TestAnOlderBirthNeverOverridesANewerOne(t *testing.T) {
+// A late write of the old process arrives after the new one has registered. Guards against sending
+// requests for layers that the engine no longer holds. A record without a birth is ordered by its
+// revision alone.
+func TestOlderStartNeverReplacesNewer(t *testing.T) {
 	var r Roster
 	r.Apply(start, []Record{bornAt(1, "a", 200)}, 1)
 	late := bornAt(5, "a", 100)
@@ -69,115 +68,114 @@
 	assert.Equal(t, got.Held, pkid.Range{End: 5})
 	assert.Equal(t, got.Born, pkid.Birth(200), "a known birth is kept")
 
-	r.Apply(start, []Record{gone(7, "a")}, 7)
-	assert.Equal(t, live(&r, start), 0)
+	r.Apply(start, []Record{deletedRecord(7, "a")}, 7)
+	assert.Equal(t, liveCount(&r, start), 0)
 	r.Apply(start, []Record{bornAt(8, "a", 100)}, 8)
-	assert.Equal(t, live(&r, start), 0, "an old write does not bring a replica back")
+	assert.Equal(t, liveCount(&r, start), 0, "a late write does not restore a deleted replica")
 	r.Apply(start, []Record{bornAt(9, "a", 200)}, 9)
-	assert.Equal(t, live(&r, start), 1)
+	assert.Equal(t, liveCount(&r, start), 1)
 }
 
-// A report tells a birth before the list does: the engine is cut off from the store.
-func TestABirthThatTheReplicaTells(t *testing.T) {
+// An engine cut off from the store reports a later birth than the list has.
+func TestStartReportedByReplica(t *testing.T) {
 	var r Roster
-	one := bornAt(1, "a", 100)
-	one.Info.Held = pkid.Range{End: 9}
-	r.Apply(start, []Record{one}, 1)
+	rec := bornAt(1, "a", 100)
+	rec.Info.Held = pkid.Range{End: 9}
+	r.Apply(start, []Record{rec}, 1)
 	assert.Assert(t, !r.Restarted("a", 100) && !r.Restarted("a", 50) && !r.Restarted("a", 0) && !r.Restarted("b", 300))
 	assert.Assert(t, r.Restarted("a", 200))
 	got, _ := r.Target("a")
-	assert.Equal(t, got.Held, pkid.Range{}, "it holds nothing until its entry says so")
-	one.Revision = 2
-	r.Apply(start, []Record{one}, 2)
+	assert.Equal(t, got.Held, pkid.Range{}, "it holds no layers until its record lists some")
+	rec.Revision = 2
+	r.Apply(start, []Record{rec}, 2)
 	got, _ = r.Target("a")
 	assert.Equal(t, got.Born, pkid.Birth(200))
 }
 
-// Engines cut off from the store crash and start again under other ids at their addresses.
-// The cut heals: the new ids register, and then the old processes' last writes come through
-// and list the old ids again with the layers of before. Paths that name them are refused, and
-// those that name an old and a new id pass one engine twice.
-func TestALateWriteDoesNotTakeAnAddressBack(t *testing.T) {
+// Engines cut off from the store restart under other ids at their addresses, and late writes of the
+// old processes list the old ids again. Guards against paths that use an old id, or one engine
+// under both ids.
+func TestLateWriteDoesNotReclaimAddress(t *testing.T) {
 	var r Roster
-	r.Apply(start, []Record{at(1, "old", "x", 9)}, 1)
+	r.Apply(start, []Record{recordAtAddr(1, "old", "x", 9)}, 1)
 	before, _ := r.Target("old")
-	r.Apply(start, []Record{gone(2, "old")}, 2)
-	r.Apply(start, []Record{at(3, "new", "x", 2)}, 3)
-	r.Apply(start, []Record{at(4, "old", "x", 12)}, 4)
+	r.Apply(start, []Record{deletedRecord(2, "old")}, 2)
+	r.Apply(start, []Record{recordAtAddr(3, "new", "x", 2)}, 3)
+	r.Apply(start, []Record{recordAtAddr(4, "old", "x", 12)}, 4)
 	ids := func() (out []pkid.TargetID) {
-		for _, one := range r.Live(start, "s") {
-			out = append(out, one.ID)
+		for _, target := range r.Live(start, "s") {
+			out = append(out, target.ID)
 		}
 		return out
 	}
 	assert.DeepEqual(t, ids(), []pkid.TargetID{"new"})
 	old, _ := r.Target("old")
 	assert.Assert(t, before.IsGone(start) && old.IsGone(start))
-	r.Apply(start, []Record{gone(5, "old")}, 5)
+	r.Apply(start, []Record{deletedRecord(5, "old")}, 5)
 	assert.DeepEqual(t, ids(), []pkid.TargetID{"new"})
 }
 
-// The same at an entry that starts meanwhile and finds both in its first list: the process
-// with fewer heartbeats started later. Where that was wrong, the late write lapses by itself
-// and the other counts again.
-func TestOfTwoAtAnAddressInAFirstListTheYoungerCounts(t *testing.T) {
+// An entry starts with both ids of one address in its first list. The id with fewer heartbeats must
+// be used, and the other one again once that is deleted.
+func TestFirstListPrefersLaterStartAtAddress(t *testing.T) {
 	for _, list := range [][]Record{
-		{at(3, "new", "x", 2), at(4, "old", "x", 12)},
-		{at(4, "old", "x", 12), at(3, "new", "x", 2)},
+		{recordAtAddr(3, "new", "x", 2), recordAtAddr(4, "old", "x", 12)},
+		{recordAtAddr(4, "old", "x", 12), recordAtAddr(3, "new", "x", 2)},
 	} {
 		var r Roster
 		r.Replace(start, list, 9)
-		assert.Equal(t, live(&r, start), 1)
-		one, _ := r.Target("new")
-		assert.Assert(t, !one.IsGone(start))
-		r.Apply(start, []Record{gone(10, "new")}, 10)
-		assert.Equal(t, live(&r, start), 1, "the one that is left counts again")
+		assert.Equal(t, liveCount(&r, start), 1)
+		target, _ := r.Target("new")
+		assert.Assert(t, !target.IsGone(start))
+		r.Apply(start, []Record{deletedRecord(10, "new")}, 10)
+		assert.Equal(t, liveCount(&r, start), 1, "the remaining one is used again")
 	}
 }
 
-func TestOfTwoAtAnAddressTheLaterBirthCounts(t *testing.T) {
+func TestLaterBirthWinsAddress(t *testing.T) {
 	var r Roster
-	late, now := at(2, "old", "x", 1), at(1, "new", "x", 900)
+	late, now := recordAtAddr(2, "old", "x", 1), recordAtAddr(1, "new", "x", 900)
 	late.Info.Born, now.Info.Born = 100, 200
 	r.Apply(start, []Record{now}, 1)
 	r.Apply(start, []Record{late}, 2)
-	one, _ := r.Target("old")
-	assert.Assert(t, one.IsGone(start))
-	assert.Equal(t, live(&r, start), 1)
+	target, _ := r.Target("old")
+	assert.Assert(t, target.IsGone(start))
+	assert.Equal(t, liveCount(&r, start), 1)
 }
 
-// An engine refuses its part of a path: it has lost what its entry names. It is passed over
-// until its entry says otherwise; a heartbeat that says the same again does not end that.
-func TestAMisplacedTargetWaitsForItsEntry(t *testing.T) {
+// An engine refuses its stage because it does not hold the layers its record lists. It must be
+// avoided until the record lists other layers; a record that repeats them must not end the
+// avoidance.
+func TestStaleLayersAvoidedUntilRecordChanges(t *testing.T) {
 	var r Roster
-	one := record(1, "a")
-	one.Info.Held = pkid.Range{End: 9}
-	r.Apply(start, []Record{one}, 1)
+	rec := record(1, "a")
+	rec.Info.Held = pkid.Range{End: 9}
+	r.Apply(start, []Record{rec}, 1)
 	target, _ := r.Target("a")
 	target.Misplaced(start.Add(time.Hour))
-	one.Revision, one.Info.Slots = 2, 9
-	r.Apply(start, []Record{one}, 2)
+	rec.Revision, rec.Info.Slots = 2, 9
+	r.Apply(start, []Record{rec}, 2)
 	target, _ = r.Target("a")
 	assert.Assert(t, target.Avoided(start))
-	one.Revision, one.Info.Held = 3, pkid.Range{First: 3, End: 9}
-	r.Apply(start, []Record{one}, 3)
+	rec.Revision, rec.Info.Held = 3, pkid.Range{First: 3, End: 9}
+	r.Apply(start, []Record{rec}, 3)
 	target, _ = r.Target("a")
 	assert.Assert(t, !target.Avoided(start))
 }
 
-// Another writer's entry takes the place of a sound one. The store has just returned, when
-// entries that are missing are waited for; this one is there, and names no replica.
-func TestAnUnusableEntryIsGoneForCertain(t *testing.T) {
+// An invalid record replaces a valid one just after the store has returned. The grace period must
+// not apply, since the record exists.
+func TestInvalidRecordGetsNoGracePeriod(t *testing.T) {
 	var r Roster
 	r.Apply(start, []Record{record(1, "a")}, 1)
 	r.StoreAway(start)
-	r.StoreBack(start, nobody)
-	bad := gone(2, "a")
+	r.StoreBack(start, noPeerFollowed)
+	bad := deletedRecord(2, "a")
 	bad.Unusable = "state"
 	assert.Equal(t, len(r.Apply(start, []Record{bad}, 2)), 1)
-	assert.Equal(t, live(&r, start), 0)
+	assert.Equal(t, liveCount(&r, start), 0)
 	bad.Revision = 3
-	assert.Equal(t, len(r.Apply(start, []Record{bad}, 3)), 0, "the same again is no change")
+	assert.Equal(t, len(r.Apply(start, []Record{bad}, 3)), 0, "an equal record is no change")
 	r.Apply(start, []Record{record(4, "a")}, 4)
-	assert.Equal(t, live(&r, start), 1)
+	assert.Equal(t, liveCount(&r, start), 1)
 }
--- a/pkreplica/target.go
+++ b/pkreplica/target.go
@@ -7,117 +7,113 @@
 )
 
 const (
-	// firstAvoid is how long a target is passed over after its first failure: a
-	// retry takes some ten milliseconds, and one lost packet is no reason for more.
-	firstAvoid = 200 * time.Millisecond
-	// mostAvoid bounds the doubling with each failure in a row, so that a target
-	// that is sound again is found within seconds.
-	mostAvoid = 4 * time.Second
-	// latencyWeight is the weight of a new sample of latency: ten calls make a view.
+	// initialBackoff is how long a target is avoided after its first failure.
+	initialBackoff = 200 * time.Millisecond
+	// maxBackoff bounds the exponential backoff, so that a recovered target is used again within
+	// seconds.
+	maxBackoff = 4 * time.Second
+	// latencyWeight is the weight of a new sample in the moving average of the latency.
 	latencyWeight = 0.2
-	// loadFades is how fast a target's own word on its load loses weight; calls to
-	// plain services take some ten milliseconds.
-	loadFades = 300 * time.Millisecond
+	// reportTTL is how long a target's own load report counts, with decreasing weight.
+	reportTTL = 300 * time.Millisecond
 )
 
-// Target is a replica together with what this entry has seen of it. Its Info does
-// not change; a new entry in the list makes a new Target that shares what was
-// seen.
+// Target is a replica together with the state that this entry has observed. Its Info does not
+// change; a changed record makes a new Target that shares the state.
 type Target struct {
 	Info
-	*seen
+	*state
 }
 
-// seen is what this entry has seen of a replica.
-type seen struct {
+// state is what this entry has observed of a replica.
+type state struct {
 	mu sync.Mutex
-	// inFlight and tokens are this entry's requests and the memory that they will
-	// hold, in tokens times layers.
+	// inFlight and tokens are this entry's requests and the memory they will hold, in tokens times
+	// layers.
 	inFlight int
 	tokens   float64
-	// others is the same of the other entries, as they last said.
+	// others is the load of the other entries as they last reported it.
 	others Load
-	// reported is what the target last said of requests beyond ours.
+	// reported is the number of requests beyond this entry's own that the target last reported.
 	reported   float64
 	reportedAt time.Time
 	latency    time.Duration
 	failures   int
 	avoidUntil time.Time
-	// goneAt is when the entry lapsed, goneForCertain that it is there and names no replica.
-	goneAt         time.Time
-	goneForCertain bool
-	askedAt        time.Time
-	// answeredAt is when it was last asked something that it answered.
-	answeredAt time.Time
-	deadUntil  time.Time
-	goneUntil  time.Time
-	leavingAt  time.Time
-	// ended says that another start has come under the same id, restarted that this is one,
-	// displaced that another process has its address.
+	// deletedAt is when the record was deleted; recordInvalid is set if it exists but is unusable.
+	deletedAt     time.Time
+	recordInvalid bool
+	probedAt      time.Time
+	// answeredProbeAt is when the last answered probe was sent.
+	answeredProbeAt time.Time
+	deadUntil       time.Time
+	goneUntil       time.Time
+	leavingAt       time.Time
+	// ended is set if a later start is known under the same id, restarted if this start followed
+	// another, displaced if a later process has the address.
 	ended     bool
 	restarted bool
 	displaced bool
-	// misplaced says that it is passed over until its entry says that it holds other layers.
-	misplaced bool
-	// readUntil is when this entry's prompts will have been read.
-	readUntil time.Time
-	// recent is tokens that began lately, fading from recentAt on.
+	// staleLayers is set while the target is avoided until its record lists other layers.
+	staleLayers bool
+	// prefillUntil is when the target will have prefilled this entry's prompts.
+	prefillUntil time.Time
+	// recent is the memory of requests that began recently, decaying exponentially from recentAt.
 	recent   float64
 	recentAt time.Time
-	// toldAfter is how long it takes until other entries know of a request.
-	toldAfter time.Duration
+	// propagationDelay is the delay until other entries learn of a request.
+	propagationDelay time.Duration
 }
 
-// Load is what requests take of a target.
+// Load is the load that requests place on a target.
 type Load struct {
 	Requests int
-	// Tokens is memory in tokens times layers.
+	// Tokens is the memory in tokens times layers.
 	Tokens float64
 }
 
-// Begin counts a request that will hold tokens times layers from now on, and whose
-// prompt takes a time to read. The other entries know of it after toldAfter.
-func (t *Target) Begin(now time.Time, tokens float64, read, toldAfter time.Duration) {
+// Begin counts a request that will hold tokens (tokens times layers) and whose prompt takes prefill
+// to process. propagationDelay is the delay until the other entries learn of it.
+func (t *Target) Begin(now time.Time, tokens float64, prefill, propagationDelay time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.toldAfter = toldAfter
-	if t.readUntil.Before(now) {
-		t.readUntil = now
+	t.propagationDelay = propagationDelay
+	if t.prefillUntil.Before(now) {
+		t.prefillUntil = now
 	}
-	t.readUntil = t.readUntil.Add(read)
+	t.prefillUntil = t.prefillUntil.Add(prefill)
 	t.inFlight++
 	t.tokens += tokens
-	t.recent = t.faded(now) + tokens
+	t.recent = t.decayedRecent(now) + tokens
 	t.recentAt = now
 }
 
-func (t *Target) faded(now time.Time) float64 {
-	if t.toldAfter <= 0 {
+func (t *Target) decayedRecent(now time.Time) float64 {
+	if t.propagationDelay <= 0 {
 		return 0
 	}
 	age := max(now.Sub(t.recentAt), 0)
-	return t.recent * math.Exp(-float64(age)/float64(t.toldAfter))
+	return t.recent * math.Exp(-float64(age)/float64(t.propagationDelay))
 }
 
-// Backlog returns how long prompts take to be read that all entries have probably
-// sent already.
+// Backlog estimates how long the target needs to prefill the prompts that all entries have sent,
+// assuming each sent as many as this one.
 func (t *Target) Backlog(now time.Time, entries int) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return max(t.readUntil.Sub(now), 0) * time.Duration(entries)
+	return max(t.prefillUntil.Sub(now), 0) * time.Duration(entries)
 }
 
-// Likely returns the memory that requests of all entries will hold, in tokens
-// times layers. What this entry began since it last told the others, each of them
-// has probably begun too: when an engine is lost, all look for another at the same
-// moment, and one that took the streams of all entries stood still for two seconds.
+// Likely estimates the memory that requests of all entries will hold, in tokens times layers. It
+// assumes that each other entry has begun as much as this one since their last exchange: when an
+// engine fails, all entries fail over at the same moment and could overload a single target.
 func (t *Target) Likely(now time.Time, entries int) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.tokens + t.others.Tokens + t.faded(now)*float64(entries-1)
+	return t.tokens + t.others.Tokens + t.decayedRecent(now)*float64(entries-1)
 }
 
-// Done ends what Begin counted.
+// Done ends a request counted by Begin.
 func (t *Target) Done(tokens float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -132,14 +128,14 @@
 	return Load{Requests: t.inFlight, Tokens: t.tokens}
 }
 
-// SetOthers records the load of all other entries.
+// SetOthers sets the load of all other entries.
 func (t *Target) SetOthers(l Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.others = l
 }
 
-// Reported records a target's own count of requests at now.
+// Reported records the number of requests that the target itself reported at now.
 func (t *Target) Reported(now time.Time, requests int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -147,7 +143,7 @@
 	t.reportedAt = now
 }
 
-// Succeeded records a sound answer after a time.
+// Succeeded records a successful call and its latency.
 func (t *Target) Succeeded(took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -159,7 +155,7 @@
 	t.latency += time.Duration(latencyWeight * float64(took-t.latency))
 }
 
-// Slow records a call that took at least so long without an answer.
+// Slow records a call that has had no answer for at least took.
 func (t *Target) Slow(took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -168,19 +164,19 @@
 	}
 }
 
-// Failed records a failure and returns until when the target is passed over.
+// Failed records a failure and returns until when the target is avoided.
 func (t *Target) Failed(now time.Time) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	pause := min(firstAvoid<<min(t.failures, 8), mostAvoid)
+	backoff := min(initialBackoff<<min(t.failures, 8), maxBackoff)
 	t.failures++
-	if until := now.Add(pause); until.After(t.avoidUntil) {
+	if until := now.Add(backoff); until.After(t.avoidUntil) {
 		t.avoidUntil = until
 	}
 	return t.avoidUntil
 }
 
-// Avoid passes the target over until a time.
+// Avoid excludes the target from selection until a time.
 func (t *Target) Avoid(until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -189,44 +185,43 @@
 	}
 }
 
-// Misplaced passes the target over until a time, or until its entry names other layers, as one
-// that does not hold what its entry says.
+// Misplaced avoids the target until a time, or until its record lists other layers, because it does
+// not hold the layers that its record lists.
 func (t *Target) Misplaced(until time.Time) {
 	t.Avoid(until)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.misplaced = true
+	t.staleLayers = true
 }
 
-// Ask says whether the target may be asked for a sign of life at now, at most once
-// in a pause.
-func (t *Target) Ask(now time.Time, pause time.Duration) bool {
+// Ask reports whether the target may be probed for liveness at now, at most once per pause.
+func (t *Target) Ask(now time.Time, interval time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if now.Sub(t.askedAt) < pause {
+	if now.Sub(t.probedAt) < interval {
 		return false
 	}
-	t.askedAt = now
+	t.probedAt = now
 	return true
 }
 
-// Answered notes that the target answered a question that was asked at a time.
+// Answered records that the target answered a probe sent at asked.
 func (t *Target) Answered(asked time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if asked.After(t.answeredAt) {
-		t.answeredAt = asked
+	if asked.After(t.answeredProbeAt) {
+		t.answeredProbeAt = asked
 	}
 }
 
-// AnsweredAt returns when the target was last asked something that it answered.
+// AnsweredAt returns when the last answered probe was sent.
 func (t *Target) AnsweredAt() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.answeredAt
+	return t.answeredProbeAt
 }
 
-// Dead passes the target over until a time, as one that gives no sign of life.
+// Dead avoids the target until a time because it failed a liveness probe.
 func (t *Target) Dead(until time.Time) {
 	t.Avoid(until)
 	t.mu.Lock()
@@ -236,7 +231,7 @@
 	}
 }
 
-// Gone passes the target over until a time, as one whose process is gone.
+// Gone avoids the target until a time because its process has ended.
 func (t *Target) Gone(until time.Time) {
 	t.Dead(until)
 	t.mu.Lock()
@@ -246,55 +241,54 @@
 	}
 }
 
-// IsGone says whether the target's process is gone, as far as is known at now.
+// IsGone reports whether the target's process is known at now to have ended.
 func (t *Target) IsGone(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.ended || t.displaced || now.Before(t.goneUntil)
 }
 
-// IsDead says whether the target gives no sign of life, as far as is known at now.
+// IsDead reports whether the target is considered dead at now.
 func (t *Target) IsDead(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.ended || t.displaced || now.Before(t.deadUntil)
 }
 
-// Avoided says whether the target is passed over at now.
+// Avoided reports whether the target is excluded from selection at now.
 func (t *Target) Avoided(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return now.Before(t.avoidUntil)
 }
 
-// Hopeless says whether the target is passed over at now for more than a failure that may not
-// come again: it is dead, or does not hold what its entry says.
+// Hopeless reports whether the target is avoided at now for more than a transient failure: it is
+// dead, or does not hold the layers that its record lists.
 func (t *Target) Hopeless(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.ended || t.displaced || now.Before(t.deadUntil) || (t.misplaced && now.Before(t.avoidUntil))
+	return t.ended || t.displaced || now.Before(t.deadUntil) || (t.staleLayers && now.Before(t.avoidUntil))
 }
 
-// wait returns an estimate of how long a call takes here: its place in line times
-// what a call takes.
-func (t *Target) wait(now time.Time) time.Duration {
+// expectedWait estimates how long a call takes: the mean latency scaled by the load per slot.
+func (t *Target) expectedWait(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	const unknown = 20 * time.Millisecond
-	queue := float64(t.inFlight) + t.fresh(now)
-	each := t.latency
-	if each == 0 {
-		each = unknown
+	const defaultLatency = 20 * time.Millisecond
+	queue := float64(t.inFlight) + t.decayedReport(now)
+	latency := t.latency
+	if latency == 0 {
+		latency = defaultLatency
 	}
 	slots := float64(max(t.Slots, 1))
-	return time.Duration(float64(each) * (1 + queue/slots))
+	return time.Duration(float64(latency) * (1 + queue/slots))
 }
 
-// fresh returns what is left of the last report's weight.
-func (t *Target) fresh(now time.Time) float64 {
+// decayedReport returns the last reported load weighted by its age.
+func (t *Target) decayedReport(now time.Time) float64 {
 	age := now.Sub(t.reportedAt)
-	if age >= loadFades {
+	if age >= reportTTL {
 		return 0
 	}
-	return t.reported * (1 - float64(age)/float64(loadFades))
+	return t.reported * (1 - float64(age)/float64(reportTTL))
 }
