--- a/pkquarantine/case.go
+++ b/pkquarantine/case.go
@@ -10,74 +10,75 @@
 )
 
 const (
-	// Limit is how many replicas must have ended under a request before it is held. One ends
-	// for many reasons, and two are as many as one attempt of a caller meets, along with all
-	// that stands beside a request which crashes them.
+	// Limit is the number of replicas that must have ended under a request before it is
+	// quarantined. Two crashes are not enough: one attempt of a caller may meet as many for other
+	// reasons, as do all requests that run beside a poison request.
 	Limit = 3
-	// HoldFor is how long a request is held after the last crash. It bounds what a caller
-	// loses that is held by mistake, and what a request that is sent for ever may crash: one
-	// replica in that time, since the first crash after it holds the request again.
+	// HoldFor is how long a request is quarantined after its last crash. It bounds what a caller
+	// loses by a false positive, and limits a poison request that is sent forever to one replica
+	// per period, since the first crash after the period quarantines it again.
 	HoldFor = 10 * time.Minute
-	// keepFor is how long a case is remembered after its last crash.
-	keepFor = 2 * HoldFor
-	// mostCrashes bounds the crashes of a case; those that are older add nothing.
-	mostCrashes = 8
+	// retention is how long a case is kept after its last crash.
+	retention = 2 * HoldFor
+	// maxCrashes bounds the crashes kept per case; the oldest are dropped.
+	maxCrashes = 8
 )
 
-// Start tells one start of a replica from all others; zero is none.
+// Start identifies one start of a replica; zero means none.
 type Start uint64
 
-// StartOf returns what tells a start of a replica from others.
+// StartOf returns the identifier of a replica's start.
 func StartOf(id pkid.TargetID, born pkid.Birth) Start {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(id)) // a hash takes everything
+	_, _ = h.Write([]byte(id)) // a hash never returns an error
 	_ = binary.Write(h, binary.BigEndian, int64(born))
 	return max(Start(h.Sum64()), 1)
 }
 
-// Crash is a replica that ended under a request.
+// Crash is the end of a replica that ran a request.
 type Crash struct {
 	Start Start `cbor:"1,keyasint" json:"start"`
-	// AgoMS is how many milliseconds ago it ended. Spans pass between entries in place of
-	// times, since their clocks differ.
+	// AgoMS is how many milliseconds ago it ended. Entries exchange ages instead of times because
+	// their clocks differ.
 	AgoMS int64 `cbor:"2,keyasint" json:"ago_ms"`
-	// Cleared says that the request has run well since, so that the crash speaks of another.
+	// Cleared is set if the request has run successfully since, so that the crash no longer counts.
 	Cleared bool `cbor:"3,keyasint,omitempty" json:"cleared,omitempty"`
 }
 
-// Case is what one entry tells another of a request under which replicas have ended.
+// Case is the record of a request under which replicas have ended, as exchanged between entries.
 type Case struct {
 	Digest  Digest  `cbor:"1,keyasint" json:"digest"`
 	Crashes []Crash `cbor:"2,keyasint" json:"crashes"`
 }
 
-// Older returns the case as it stands a span later; clocks that disagree make it no younger.
+// Older returns the case with its crashes aged by a duration. Negative durations, as from clock
+// skew, count as zero.
 func (c Case) Older(by time.Duration) Case {
 	out := Case{Digest: c.Digest, Crashes: slices.Clone(c.Crashes)}
 	for i := range out.Crashes {
-		ago := min(out.Crashes[i].AgoMS, keepFor.Milliseconds())
+		ago := min(out.Crashes[i].AgoMS, retention.Milliseconds())
 		out.Crashes[i].AgoMS = ago + max(by, 0).Milliseconds()
 	}
 	return out
 }
 
-// crash is a Crash at a time of this entry's clock.
+// crash is a Crash with its time on this entry's clock.
 type crash struct {
 	start   Start
 	at      time.Time
 	cleared bool
 }
 
-// record is what a table knows of one request.
+// record is a table's state of one request.
 type record struct {
-	// crashes are sorted by their time, the newest first.
+	// crashes are sorted by time, newest first.
 	crashes []crash
-	// changed is when it last changed, told in how many messages it was told since.
-	changed time.Time
-	told    int
+	// changedAt is when the record last changed, timesSent in how many messages it was sent since.
+	changedAt time.Time
+	timesSent int
 }
 
-// add takes a crash and says whether it is news.
+// add adds or updates a crash and reports whether the record changed.
 func (r *record) add(c crash) bool {
 	for i := range r.crashes {
 		if r.crashes[i].start != c.start {
@@ -89,16 +90,16 @@
 	}
 	r.crashes = append(r.crashes, c)
 	slices.SortStableFunc(r.crashes, func(a, b crash) int { return b.at.Compare(a.at) })
-	if len(r.crashes) <= mostCrashes {
+	if len(r.crashes) <= maxCrashes {
 		return true
 	}
-	last := r.crashes[mostCrashes]
-	r.crashes = r.crashes[:mostCrashes]
+	last := r.crashes[maxCrashes]
+	r.crashes = r.crashes[:maxCrashes]
 	return last.start != c.start
 }
 
-// counted returns how many crashes speak against the request, and when the last of them was.
-func (r *record) counted() (n int, last time.Time) {
+// countCrashes returns the number of crashes that are not cleared and the time of the latest.
+func (r *record) countCrashes() (n int, last time.Time) {
 	for _, c := range r.crashes {
 		if c.cleared {
 			continue
@@ -111,24 +112,24 @@
 	return n, last
 }
 
-// heldUntil returns until when the request is held; zero where it never was.
-func (r *record) heldUntil() time.Time {
-	n, last := r.counted()
+// quarantinedUntil returns when the quarantine ends; zero if there was none.
+func (r *record) quarantinedUntil() time.Time {
+	n, last := r.countCrashes()
 	if n < Limit {
 		return time.Time{}
 	}
 	return last.Add(HoldFor)
 }
 
-func (r *record) isHeld(now time.Time) bool { return now.Before(r.heldUntil()) }
+func (r *record) isQuarantined(now time.Time) bool { return now.Before(r.quarantinedUntil()) }
 
-// isOver says whether nothing that is known of the request matters any more at now.
-func (r *record) isOver(now time.Time) bool {
-	return len(r.crashes) == 0 || now.Sub(r.crashes[0].at) >= keepFor
+// isExpired reports whether the record can be dropped at now.
+func (r *record) isExpired(now time.Time) bool {
+	return len(r.crashes) == 0 || now.Sub(r.crashes[0].at) >= retention
 }
 
-// tell returns the record as it is told at now.
-func (r *record) tell(now time.Time, d Digest) Case {
+// toCase returns the record in the form exchanged between entries.
+func (r *record) toCase(now time.Time, d Digest) Case {
 	out := Case{Digest: d, Crashes: make([]Crash, len(r.crashes))}
 	for i, c := range r.crashes {
 		out.Crashes[i] = Crash{Start: c.start, AgoMS: now.Sub(c.at).Milliseconds(), Cleared: c.cleared}
--- a/pkquarantine/digest_test.go
+++ b/pkquarantine/digest_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestRequestsAreTheSameByAllThatTheCallerChose(t *testing.T) {
+func TestDigestCoversAllFields(t *testing.T) {
 	one := Identity{Account: "a", Method: "POST", Host: "h", URI: "/x/1", Body: []byte("body")}
 	same := one
 	same.Body = []byte("body")
--- a/pkquarantine/doc.go
+++ b/pkquarantine/doc.go
@@ -1,13 +1,13 @@
-// Package pkquarantine decides which requests are kept from replicas, since each replica that
-// begins to run them crashes: poison requests, or queries of death.
+// Package pkquarantine detects poison requests (queries of death), which crash each replica that
+// runs them, and keeps them from further replicas.
 //
-// A request is known by its digest, so that it is recognized when it comes again under another
-// id at another entry. A Table holds a case for each digest under which replicas have ended:
-// which starts of replicas those were, and when. Entries tell one another their cases, which
-// merge in any order to the same. With Limit replicas that have ended a request is held for
-// HoldFor; the crash that counts last begins that time anew.
+// A request is identified by a digest, so that it is recognized when it is sent again under another
+// id or to another entry. A Table holds a case for each digest under which replicas have ended: the
+// starts of these replicas, and when they ended. Entries exchange their cases, which merge to the
+// same result in any order. Once enough replicas have ended, the request is quarantined for some
+// minutes; every further crash restarts that period.
 //
-// What crashes beside such a request is suspected like it. A request that runs well ends its
-// case, at all entries, and few of those that only stood beside one meet Limit crashes without
-// running well in between.
+// Requests that ran beside a poison request on a crashed replica become suspects as well. A request
+// that runs successfully clears its case at all entries, so that few innocent requests are
+// quarantined.
 package pkquarantine
--- a/pkquarantine/table.go
+++ b/pkquarantine/table.go
@@ -9,63 +9,63 @@
 )
 
 const (
-	// mostCases bounds the requests that are remembered. A data centre that is lost at the
-	// size to design for ends some thousand requests in their first second. A full table takes
-	// half a megabyte, at 420 bytes a case.
-	mostCases = 1024
-	// mostHeld bounds those of them that are held, all of which are told to an entry that
+	// maxCases bounds the number of cases in a table. A full table takes about half a megabyte, at
+	// 420 bytes per case.
+	maxCases = 1024
+	// maxQuarantined bounds the quarantined requests, all of which are sent to an entry that
 	// starts.
-	mostHeld = 256
-	// mostNews bounds the cases in one message. With a data centre of 22 entries lost at the size
-	// to design for, a hub then tells 17 KB a second for ten seconds; control may take 20.
-	mostNews = 6
-	// tellFor is how long a case is told after it has changed: longer than three messages from
-	// hub to hub take. It bounds what the loss of a data centre costs.
-	tellFor = 2 * time.Second
-	// tellTimes is in how many messages a case is told after it has changed. Where there are
-	// hubs, every second one goes out, to two hubs, and of those one may be lost.
-	tellTimes = 4
+	maxQuarantined = 256
+	// maxChanges bounds the cases in one message, to limit the control traffic after the loss of a
+	// data centre.
+	maxChanges = 6
+	// gossipPeriod is how long a changed case is sent: longer than three messages between hubs
+	// take. It bounds the control traffic after the loss of a data centre.
+	gossipPeriod = 2 * time.Second
+	// gossipCount is the number of messages in which a changed case is sent. With hubs, only every
+	// second message is sent on, to two hubs, and one of those may be lost.
+	gossipCount = 4
 )
 
-// Table is the cases that an entry knows; the zero value is empty.
+// Table holds the cases known to an entry; the zero value is empty.
 type Table struct {
 	mu    sync.Mutex
 	cases map[Digest]*record
 }
 
-// Sum is a checksum of held requests, by which two entries see whether they hold the same; zero
-// is none.
+// Sum is a checksum of the quarantined requests, used by entries to detect that their sets differ;
+// zero means none.
 type Sum uint64
 
-// Finding is what a crash adds to what was known.
+// Finding is the result of recording a crash.
 type Finding struct {
-	// Crashes is how many now speak against the request.
+	// Crashes is the number of crashes that now count against the request.
 	Crashes int
-	// News says that the crash was not known, Held that it holds the request from now on.
+	// News is set if the crash was not known before.
 	News bool
+	// Held is set if the crash quarantined the request.
 	Held bool
 }
 
-// Crashed takes a replica that ended under a request at now.
+// Crashed records that a replica ended under a request at now.
 func (t *Table) Crashed(now time.Time, d Digest, s Start) Finding {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out Finding
-	out.News, out.Held = t.take(now, d, []crash{{start: s, at: now}})
+	out.News, out.Held = t.merge(now, d, []crash{{start: s, at: now}})
 	if r := t.cases[d]; r != nil {
-		out.Crashes, _ = r.counted()
+		out.Crashes, _ = r.countCrashes()
 	}
 	return out
 }
 
-// Knows says whether replicas are known to have ended under a request.
+// Knows reports whether the table has a case for a request.
 func (t *Table) Knows(d Digest) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.cases[d] != nil
 }
 
-// Ran takes a request that has run well at now, and says whether that ends a case.
+// Ran records that a request ran successfully at now and reports whether that cleared a case.
 func (t *Table) Ran(now time.Time, d Digest) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -73,46 +73,46 @@
 	if r == nil {
 		return false
 	}
-	counted, _ := r.counted()
+	counted, _ := r.countCrashes()
 	if counted == 0 {
 		return false
 	}
 	for i := range r.crashes {
 		r.crashes[i].cleared = true
 	}
-	r.changed, r.told = now, 0
+	r.changedAt, r.timesSent = now, 0
 	return true
 }
 
-// Learn takes what another entry knows and returns the requests that this holds from now on.
+// Learn merges the cases of another entry and returns the requests that this newly quarantined.
 func (t *Table) Learn(now time.Time, cases []Case) []Digest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Digest
 	for _, c := range cases {
-		if _, held := t.take(now, c.Digest, heard(now, c)); held {
+		if _, quarantined := t.merge(now, c.Digest, validCrashes(now, c)); quarantined {
 			out = append(out, c.Digest)
 		}
 	}
 	return out
 }
 
-// heard returns the crashes of a case that may count at now.
-func heard(now time.Time, c Case) []crash {
+// validCrashes returns the crashes of a case that are well-formed and not expired at now.
+func validCrashes(now time.Time, c Case) []crash {
 	var out []crash
-	for _, one := range c.Crashes {
-		if one.Start == 0 || one.AgoMS >= keepFor.Milliseconds() || len(out) == mostCrashes {
+	for _, reported := range c.Crashes {
+		if reported.Start == 0 || reported.AgoMS >= retention.Milliseconds() || len(out) == maxCrashes {
 			continue
 		}
-		ago := time.Duration(max(one.AgoMS, 0)) * time.Millisecond
-		out = append(out, crash{start: one.Start, at: now.Add(-ago), cleared: one.Cleared})
+		ago := time.Duration(max(reported.AgoMS, 0)) * time.Millisecond
+		out = append(out, crash{start: reported.Start, at: now.Add(-ago), cleared: reported.Cleared})
 	}
 	return out
 }
 
-// take adds crashes to a case; it says whether any is news, and whether the request is held
-// from now on.
-func (t *Table) take(now time.Time, d Digest, crashes []crash) (news, held bool) {
+// merge adds crashes to a case; it reports whether the case changed, and whether the request was
+// newly quarantined.
+func (t *Table) merge(now time.Time, d Digest, crashes []crash) (changed, quarantined bool) {
 	if d == 0 || len(crashes) == 0 {
 		return false, false
 	}
@@ -121,44 +121,44 @@
 		r = &record{}
 		t.insert(now, d, r)
 	}
-	before := r.isHeld(now)
+	before := r.isQuarantined(now)
 	for _, c := range crashes {
-		news = r.add(c) || news
+		changed = r.add(c) || changed
 	}
-	if news {
-		r.changed, r.told = now, 0
+	if changed {
+		r.changedAt, r.timesSent = now, 0
 	}
-	if held = !before && r.isHeld(now); held {
-		t.boundHeld(now)
+	if quarantined = !before && r.isQuarantined(now); quarantined {
+		t.limitQuarantined(now)
 	}
-	return news, held
+	return changed, quarantined
 }
 
-// insert makes room for a case and adds it.
+// insert adds a case, evicting others if the table is full.
 func (t *Table) insert(now time.Time, d Digest, r *record) {
 	if t.cases == nil {
 		t.cases = map[Digest]*record{}
 	}
-	if len(t.cases) >= mostCases {
-		maps.DeleteFunc(t.cases, func(_ Digest, old *record) bool { return old.isOver(now) })
+	if len(t.cases) >= maxCases {
+		maps.DeleteFunc(t.cases, func(_ Digest, old *record) bool { return old.isExpired(now) })
 	}
-	if len(t.cases) >= mostCases {
-		delete(t.cases, t.least(now))
+	if len(t.cases) >= maxCases {
+		delete(t.cases, t.evictionCandidate(now))
 	}
 	t.cases[d] = r
 }
 
-// least returns the case with the fewest crashes that speak against its request, and of those
-// the oldest. A held request is kept: in a crash of a whole data centre thousands are suspected
-// of one crash each, and must not push out the one that ends replicas.
-func (t *Table) least(now time.Time) Digest {
+// evictionCandidate returns the case with the fewest counted crashes, of those the oldest.
+// Quarantined requests rank higher, since the loss of a data centre produces thousands of suspects
+// with one crash each, which must not evict a poison request.
+func (t *Table) evictionCandidate(now time.Time) Digest {
 	var out Digest
 	var fewest int
 	var oldest time.Time
 	for d, r := range t.cases {
-		n, last := r.counted()
-		if r.isHeld(now) {
-			n += mostCrashes
+		n, last := r.countCrashes()
+		if r.isQuarantined(now) {
+			n += maxCrashes
 		}
 		if out == 0 || cmp.Or(cmp.Compare(n, fewest), last.Compare(oldest)) < 0 {
 			out, fewest, oldest = d, n, last
@@ -167,20 +167,20 @@
 	return out
 }
 
-// boundHeld drops the held request with the lowest digest where there are too many: all
-// entries then drop the same one, and don't tell it to one another for ever.
-func (t *Table) boundHeld(now time.Time) {
-	held := t.held(now)
-	if len(held) > mostHeld {
-		delete(t.cases, held[0])
+// limitQuarantined drops the quarantined request with the lowest digest if there are too many. All
+// entries drop the same one and so do not keep sending it to each other.
+func (t *Table) limitQuarantined(now time.Time) {
+	quarantined := t.quarantined(now)
+	if len(quarantined) > maxQuarantined {
+		delete(t.cases, quarantined[0])
 	}
 }
 
-// held returns the requests that are held at now, sorted.
-func (t *Table) held(now time.Time) []Digest {
+// quarantined returns the sorted digests of the requests quarantined at now.
+func (t *Table) quarantined(now time.Time) []Digest {
 	var out []Digest
 	for d, r := range t.cases {
-		if r.isHeld(now) {
+		if r.isQuarantined(now) {
 			out = append(out, d)
 		}
 	}
@@ -188,7 +188,7 @@
 	return out
 }
 
-// Left returns how long a request is still held at now; zero where it is not.
+// Left returns how long a request remains quarantined at now; zero if it is not.
 func (t *Table) Left(now time.Time, d Digest) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -196,64 +196,61 @@
 	if r == nil {
 		return 0
 	}
-	return max(r.heldUntil().Sub(now), 0)
+	return max(r.quarantinedUntil().Sub(now), 0)
 }
 
-// Sum returns the checksum of the requests that are held at now.
+// Sum returns the checksum of the requests quarantined at now.
 func (t *Table) Sum(now time.Time) Sum {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	sum := Sum(1)
-	for _, d := range t.held(now) {
+	for _, d := range t.quarantined(now) {
 		sum ^= Sum(d)
 	}
 	return max(sum, 1)
 }
 
-// Held returns the cases of the requests that are held at now.
+// Held returns the cases of the requests quarantined at now.
 func (t *Table) Held(now time.Time) []Case {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Case
-	for _, d := range t.held(now) {
-		out = append(out, t.cases[d].tell(now, d))
+	for _, d := range t.quarantined(now) {
+		out = append(out, t.cases[d].toCase(now, d))
 	}
 	return out
 }
 
-// Sizes returns how many requests are held at now and how many are known.
-func (t *Table) Sizes(now time.Time) (held, known int) {
+// Sizes returns the number of quarantined requests at now and of all cases.
+func (t *Table) Sizes(now time.Time) (quarantined, known int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.held(now)), len(t.cases)
+	return len(t.quarantined(now)), len(t.cases)
 }
 
-// News returns the cases that have changed lately and were told least often since, at most a
-// message's worth: of those the ones with the most crashes first, then the latest to change.
-//
-// Each has its turn. In an order by crashes and time alone the same ones were told each time: with
-// twelve callers suspected beside it, a request that had ended three replicas at two entries was
-// told to neither and ended three more.
+// News returns recently changed cases for one message, least often sent first, then those with the
+// most crashes, then the latest to change. Ordering by the send count first ensures that every case
+// is sent; otherwise the same cases would fill each message.
 func (t *Table) News(now time.Time) []Case {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var fresh []Digest
+	var recent []Digest
 	for d, r := range t.cases {
-		if r.told < tellTimes && now.Sub(r.changed) < tellFor {
-			fresh = append(fresh, d)
+		if r.timesSent < gossipCount && now.Sub(r.changedAt) < gossipPeriod {
+			recent = append(recent, d)
 		}
 	}
-	slices.SortFunc(fresh, func(a, b Digest) int { return t.compareNews(a, b) })
+	slices.SortFunc(recent, func(a, b Digest) int { return t.compareChanges(a, b) })
 	var out []Case
-	for _, d := range fresh[:min(len(fresh), mostNews)] {
+	for _, d := range recent[:min(len(recent), maxChanges)] {
 		r := t.cases[d]
-		r.told++
-		out = append(out, r.tell(now, d))
+		r.timesSent++
+		out = append(out, r.toCase(now, d))
 	}
 	return out
 }
 
-func (t *Table) compareNews(a, b Digest) int {
+func (t *Table) compareChanges(a, b Digest) int {
 	x, y := t.cases[a], t.cases[b]
-	return cmp.Or(cmp.Compare(x.told, y.told), cmp.Compare(len(y.crashes), len(x.crashes)), y.changed.Compare(x.changed), cmp.Compare(a, b))
+	return cmp.Or(cmp.Compare(x.timesSent, y.timesSent), cmp.Compare(len(y.crashes), len(x.crashes)), y.changedAt.Compare(x.changedAt), cmp.Compare(a, b))
 }
