--- a/pkadmit/budget.go
+++ b/pkadmit/budget.go
@@ -2,35 +2,37 @@
 
 import "sync"
 
-// Budget bounds retries to a share of the requests of a pool, so that a fault
-// which fails every request cannot double the load on what is left.
+// Budget is a token bucket that limits retries to a share of a pool's requests, so that a fault
+// which fails every request cannot double the load on the remaining targets.
 type Budget struct {
-	mu   sync.Mutex
-	left float64
-	// Share is how many retries each request allows.
+	mu     sync.Mutex
+	tokens float64
+	// Share is the number of retries that each request adds.
 	Share float64
-	// Most bounds what can be saved up; it must cover the requests in
-	// progress on one target, all of which fail together when it dies.
+	// Most is the capacity of the bucket. It must cover the requests in flight on one target, all
+	// of which fail when it crashes.
 	Most float64
 }
 
 // NewBudget returns a full budget.
-func NewBudget(share, most float64) *Budget { return &Budget{Share: share, Most: most, left: most} }
+func NewBudget(share, capacity float64) *Budget {
+	return &Budget{Share: share, Most: capacity, tokens: capacity}
+}
 
-// Earn counts one request.
+// Earn adds the share of one request.
 func (b *Budget) Earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.left = min(b.left+b.Share, b.Most)
+	b.tokens = min(b.tokens+b.Share, b.Most)
 }
 
-// Spend takes one retry and says whether there was one left.
+// Spend takes one retry from the budget and reports whether there was one.
 func (b *Budget) Spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.left < 1 {
+	if b.tokens < 1 {
 		return false
 	}
-	b.left--
+	b.tokens--
 	return true
 }
--- a/pkadmit/doc.go
+++ b/pkadmit/doc.go
@@ -1,11 +1,9 @@
-// Package pkadmit decides which requests start now, which wait and which are
+// Package pkadmit is the admission control of a pool: it decides which requests start, wait or are
 // refused.
 //
-// A Gate stands before each pool. It lets as many requests in as the pool has
-// room for. When more come, each account gets the pool in proportion to its
-// weight, counted in tokens and not in requests: every account has a virtual
-// time that moves on by the tokens it used over its weight, and the account
-// whose time is furthest behind goes next. A request that cannot be done by
-// its deadline is refused at once, while the caller can still go elsewhere,
-// and is told when to come back.
+// A Gate limits the requests in flight to the pool's capacity. Under contention it shares the pool
+// between accounts by start-time fair queueing, with tokens as cost: the finish tag of an account
+// advances by the tokens of each request divided by the account's weight, and the waiting request
+// with the lowest start tag goes next. A request that cannot meet its deadline is refused at once
+// with a time to retry after, while the caller can still go elsewhere.
 package pkadmit
--- a/pkadmit/gate.go
+++ b/pkadmit/gate.go
@@ -7,62 +7,62 @@
 	"peridotknot.example/pkid"
 )
 
-// Options bounds a gate.
+// Options are the bounds of a gate.
 type Options struct {
-	// Queue is how many requests of one account may wait.
+	// Queue is the number of requests of one account that may wait.
 	Queue int
-	// Hold is the time a request is taken to need before any was seen.
+	// Hold is the assumed service time until requests have been observed.
 	Hold time.Duration
 }
 
-// DefaultOptions returns bounds that suit an entry of today's size.
+// DefaultOptions returns the default bounds.
 func DefaultOptions() Options { return Options{Queue: 256, Hold: 300 * time.Millisecond} }
 
-// Gate admits the requests of one pool.
+// Gate is the admission control of one pool.
 type Gate struct {
 	mu       sync.Mutex
 	opts     Options
 	limit    int
 	inFlight int
 	waiting  int
-	// clock is the virtual time of the request that started last.
-	clock    float64
-	accounts map[pkid.AccountID]*account
-	// hold is the mean time that a request holds its place, of the last ones.
-	hold time.Duration
-	seen int
+	// virtualTime is the start tag of the request that started last.
+	virtualTime float64
+	accounts    map[pkid.AccountID]*account
+	// serviceTime is the moving average of the time that a request is in flight.
+	serviceTime time.Duration
+	samples     int
 }
 
 // account is the queue of one client account.
 type account struct {
 	weight   float64
 	inFlight int
-	// behind is the virtual time up to which the account was served.
-	behind float64
-	queue  []*Ticket
+	// finishTag is the virtual time at which the account's last request finishes.
+	finishTag float64
+	queue     []*Ticket
 }
 
-// Ask is one request for admission.
+// Ask is a request for admission.
 type Ask struct {
 	Account     pkid.AccountID
 	Weight      int
 	MaxInFlight int
-	// Tokens is what the request is expected to use.
+	// Tokens is the expected token usage.
 	Tokens   pkid.Tokens
 	Deadline time.Time
-	// Least is the least time that the request needs once it started.
+	// Least is the minimum time that the request needs once started.
 	Least time.Duration
 }
 
-// Refusal says why a request was refused and when to come back.
+// Refusal is the error of a request that was not admitted.
 type Refusal struct {
-	// Late says that the deadline could not be met; otherwise the queue or
-	// the account's limit is full.
+	// Late is set if the deadline cannot be met; otherwise the queue or the account's limit is
+	// full.
 	Late       bool
 	RetryAfter time.Duration
 }
 
-// Error returns the reason.
+// Error returns the reason that callers are sent.
 func (r *Refusal) Error() string {
 	if r.Late {
 		return "the deadline cannot be met"
@@ -70,29 +70,28 @@
 	return "too many requests are waiting"
 }
 
-// Ticket is a request that waits or runs.
+// Ticket is a waiting or running request.
 type Ticket struct {
-	ask     Ask
-	start   float64
-	began   time.Time
-	refused *Refusal
-	ready   chan struct{}
+	ask       Ask
+	startTag  float64
+	startedAt time.Time
+	refused   *Refusal
+	ready     chan struct{}
 }
 
-// Ready is closed when the request may start or was refused.
+// Ready returns a channel that is closed when the request may start or was refused.
 func (t *Ticket) Ready() <-chan struct{} { return t.ready }
 
-// Refused returns the refusal; nil lets the request start. It is valid once
-// Ready is closed.
+// Refused returns the refusal, or nil if the request may start. It is valid once Ready is closed.
 func (t *Ticket) Refused() *Refusal { return t.refused }
 
-// NewGate returns a gate with room for limit requests.
+// NewGate returns a gate for at most limit requests in flight.
 func NewGate(o Options, limit int) *Gate {
-	return &Gate{opts: o, limit: limit, hold: o.Hold, accounts: map[pkid.AccountID]*account{}}
+	return &Gate{opts: o, limit: limit, serviceTime: o.Hold, accounts: map[pkid.AccountID]*account{}}
 }
 
-// Enter takes a request in. A ticket must be given back with Leave, or with
-// Withdraw if its caller goes away before Ready.
+// Enter queues a request or refuses it. The ticket must be returned by Leave, or withdrawn if the
+// caller goes away before Ready is closed.
 func (g *Gate) Enter(now time.Time, ask Ask) (*Ticket, *Refusal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -100,47 +99,47 @@
 	if a.inFlight+len(a.queue) >= ask.MaxInFlight || len(a.queue) >= g.opts.Queue {
 		return nil, &Refusal{RetryAfter: g.retryAfter(a)}
 	}
-	if wait := g.wait(a); now.Add(wait + ask.Least).After(ask.Deadline) {
+	if wait := g.estimateWait(a); now.Add(wait + ask.Least).After(ask.Deadline) {
 		return nil, &Refusal{Late: true, RetryAfter: g.retryAfter(a)}
 	}
 	t := &Ticket{ask: ask, ready: make(chan struct{})}
-	t.start = max(g.clock, a.behind)
-	a.behind = t.start + float64(ask.Tokens)/a.weight
+	t.startTag = max(g.virtualTime, a.finishTag)
+	a.finishTag = t.startTag + float64(ask.Tokens)/a.weight
 	a.queue = append(a.queue, t)
 	g.waiting++
 	g.dispatch(now)
 	return t, nil
 }
 
-// Leave gives back a ticket whose request ended after using tokens.
+// Leave returns the ticket of a request that ended after using tokens.
 func (g *Gate) Leave(now time.Time, t *Ticket, used pkid.Tokens) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	a := g.accounts[t.ask.Account]
 	g.inFlight--
 	a.inFlight--
-	// The account pays for what it used, not for what it asked for, or an
-	// account that asks for much and gets little would starve.
-	a.behind += float64(used-t.ask.Tokens) / a.weight
-	g.learn(now.Sub(t.began))
+	// Charge the actual usage instead of the estimate, so that overestimates do not starve the
+	// account.
+	a.finishTag += float64(used-t.ask.Tokens) / a.weight
+	g.observeServiceTime(now.Sub(t.startedAt))
 	g.dispatch(now)
-	g.forget(t.ask.Account, a)
+	g.dropIdleAccount(t.ask.Account, a)
 }
 
-// learn takes a request's time into the mean: fully at first, so that a wrong
-// guess at the start refuses nobody for long, then as one of the last few.
-func (g *Gate) learn(took time.Duration) {
-	const last = 20
-	g.seen = min(g.seen+1, last)
-	g.hold += (took - g.hold) / time.Duration(g.seen)
+// observeServiceTime updates the average: the first samples outweigh the initial assumption, later
+// ones have a fixed weight.
+func (g *Gate) observeServiceTime(took time.Duration) {
+	const window = 20
+	g.samples = min(g.samples+1, window)
+	g.serviceTime += (took - g.serviceTime) / time.Duration(g.samples)
 }
 
-// Withdraw takes a ticket back that its caller no longer waits for. It says
-// whether the request had started, and so must be given back with Leave.
+// Withdraw cancels a ticket that its caller no longer waits for. It reports whether the request had
+// already started, in which case Leave must be called.
 func (g *Gate) Withdraw(now time.Time, t *Ticket) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !t.began.IsZero() {
+	if !t.startedAt.IsZero() {
 		return true
 	}
 	g.remove(t)
@@ -148,7 +147,7 @@
 	return false
 }
 
-// SetLimit changes the room for requests.
+// SetLimit changes the number of requests that may be in flight.
 func (g *Gate) SetLimit(now time.Time, limit int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -156,8 +155,8 @@
 	g.dispatch(now)
 }
 
-// Expire refuses the waiting requests that can no longer meet their deadline.
-// They are told at once, because an answer held back is of no use to anyone.
+// Expire refuses the waiting requests that can no longer meet their deadline, so that their callers
+// can retry elsewhere.
 func (g *Gate) Expire(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -166,7 +165,7 @@
 		for _, t := range a.queue {
 			if now.Add(t.ask.Least).After(t.ask.Deadline) {
 				g.waiting--
-				a.behind -= float64(t.ask.Tokens) / a.weight
+				a.finishTag -= float64(t.ask.Tokens) / a.weight
 				t.refused = &Refusal{Late: true, RetryAfter: g.retryAfter(a)}
 				close(t.ready)
 				continue
@@ -178,7 +177,7 @@
 	}
 }
 
-// Counts returns how many requests run and wait, and the limit.
+// Counts returns the number of requests in flight and waiting, and the limit.
 func (g *Gate) Counts() (inFlight, waiting, limit int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -188,27 +187,27 @@
 func (g *Gate) account(ask Ask) *account {
 	a, found := g.accounts[ask.Account]
 	if !found {
-		a = &account{behind: g.clock}
+		a = &account{finishTag: g.virtualTime}
 		g.accounts[ask.Account] = a
 	}
 	a.weight = float64(max(ask.Weight, 1))
 	return a
 }
 
-// forget drops an account that is idle and owes nothing, so that the gate does
-// not grow with every account that ever called.
-func (g *Gate) forget(id pkid.AccountID, a *account) {
-	if a.inFlight == 0 && len(a.queue) == 0 && a.behind <= g.clock {
+// dropIdleAccount removes an account without requests whose finish tag has passed, so that the gate
+// does not grow with every account that ever called.
+func (g *Gate) dropIdleAccount(id pkid.AccountID, a *account) {
+	if a.inFlight == 0 && len(a.queue) == 0 && a.finishTag <= g.virtualTime {
 		delete(g.accounts, id)
 	}
 }
 
 func (g *Gate) remove(t *Ticket) {
 	a := g.accounts[t.ask.Account]
-	for i, one := range a.queue {
-		if one == t {
+	for i, queued := range a.queue {
+		if queued == t {
 			a.queue = append(a.queue[:i], a.queue[i+1:]...)
-			a.behind -= float64(t.ask.Tokens) / a.weight
+			a.finishTag -= float64(t.ask.Tokens) / a.weight
 			g.waiting--
 			return
 		}
@@ -217,36 +216,35 @@
 
 func (g *Gate) dispatch(now time.Time) {
 	for g.inFlight < g.limit && g.waiting > 0 {
-		a := g.furthestBehind()
+		a := g.nextAccount()
 		t := a.queue[0]
 		a.queue[0] = nil
 		a.queue = a.queue[1:]
 		g.waiting--
 		g.inFlight++
 		a.inFlight++
-		g.clock = max(g.clock, t.start)
-		t.began = now
+		g.virtualTime = max(g.virtualTime, t.startTag)
+		t.startedAt = now
 		close(t.ready)
 	}
 }
 
-func (g *Gate) furthestBehind() *account {
+func (g *Gate) nextAccount() *account {
 	var best *account
 	for _, a := range g.accounts {
 		if len(a.queue) == 0 {
 			continue
 		}
-		if best == nil || a.queue[0].start < best.queue[0].start {
+		if best == nil || a.queue[0].startTag < best.queue[0].startTag {
 			best = a
 		}
 	}
 	return best
 }
 
-// wait estimates how long a new request of a would wait: its own requests that
-// wait, times the accounts it shares the pool with, but never more than the
-// whole queue.
-func (g *Gate) wait(a *account) time.Duration {
+// estimateWait estimates how long a new request of a would wait: its own queue scaled by the
+// weights of the active accounts, at most the whole queue.
+func (g *Gate) estimateWait(a *account) time.Duration {
 	if g.inFlight < g.limit && g.waiting == 0 {
 		return 0
 	}
@@ -257,9 +255,9 @@
 		}
 	}
 	ahead := min(float64(len(a.queue)+1)*weights/a.weight, float64(g.waiting+1))
-	return time.Duration(ahead * float64(g.hold) / float64(max(g.limit, 1)))
+	return time.Duration(ahead * float64(g.serviceTime) / float64(max(g.limit, 1)))
 }
 
 func (g *Gate) retryAfter(a *account) time.Duration {
-	return max(g.wait(a), time.Second)
+	return max(g.estimateWait(a), time.Second)
 }
--- a/pkadmit/gate_test.go
+++ b/pkadmit/gate_test.go
@@ -25,28 +25,27 @@
 	}
 }
 
-// One account sends a burst that fills the queue; another sends a little. The
-// pool is full. Each must get its share by weight, in tokens: counted in
-// requests, the account with the longer prompts would take all of the pool.
+// Three accounts fill the queue of a saturated pool. Each must get its share by weight in tokens;
+// counted in requests, the account with the longer prompts would get more.
 func TestSharesFollowWeightsInTokens(t *testing.T) {
 	g := NewGate(Options{Queue: 1000, Hold: time.Second}, 1)
 	var waiting []*Ticket
 	for range 300 {
 		for _, ask := range []Ask{request("burst", 1, 400), request("small", 1, 100), request("heavy", 2, 100)} {
-			one, refusal := g.Enter(start, ask)
+			ticket, refusal := g.Enter(start, ask)
 			assert.Assert(t, refusal == nil)
-			waiting = append(waiting, one)
+			waiting = append(waiting, ticket)
 		}
 	}
 	served := map[pkid.AccountID]pkid.Tokens{}
 	for range 300 {
-		for i, one := range waiting {
-			if !admitted(one) {
+		for i, ticket := range waiting {
+			if !admitted(ticket) {
 				continue
 			}
 			waiting = append(waiting[:i], waiting[i+1:]...)
-			served[one.ask.Account] += one.ask.Tokens
-			g.Leave(start, one, one.ask.Tokens)
+			served[ticket.ask.Account] += ticket.ask.Tokens
+			g.Leave(start, ticket, ticket.ask.Tokens)
 			break
 		}
 	}
@@ -58,14 +57,14 @@
 }
 
 func TestRefusals(t *testing.T) {
-	full := func() *Gate {
+	fullGate := func() *Gate {
 		g := NewGate(Options{Queue: 2, Hold: time.Second}, 1)
 		_, refusal := g.Enter(start, request("a", 1, 1))
 		assert.Assert(t, refusal == nil)
 		return g
 	}
 	t.Run("queue full", func(t *testing.T) {
-		g := full()
+		g := fullGate()
 		for range 2 {
 			_, refusal := g.Enter(start, request("a", 1, 1))
 			assert.Assert(t, refusal == nil)
@@ -78,7 +77,7 @@
 		assert.Assert(t, refusal == nil, "another account still gets in")
 	})
 	t.Run("deadline cannot be met", func(t *testing.T) {
-		g := full()
+		g := fullGate()
 		ask := request("b", 1, 1)
 		ask.Deadline = start.Add(100 * time.Millisecond)
 		_, refusal := g.Enter(start, ask)
@@ -87,26 +86,26 @@
 	t.Run("limit of the account", func(t *testing.T) {
 		ask := request("a", 1, 1)
 		ask.MaxInFlight = 1
-		_, refusal := full().Enter(start, ask)
+		_, refusal := fullGate().Enter(start, ask)
 		assert.Assert(t, refusal != nil && !refusal.Late)
 	})
 }
 
-// A request waits and its time runs out. It must be refused then, not when its
-// turn comes, and its place must not count against the account any more.
+// A waiting request must be refused when its deadline can no longer be met, not when its turn
+// comes, and must no longer count against its account.
 func TestExpireRefusesAtOnce(t *testing.T) {
 	g := NewGate(Options{Queue: 10, Hold: time.Millisecond}, 1)
 	running, _ := g.Enter(start, request("a", 1, 1))
 	ask := request("b", 1, 1)
 	ask.Deadline = start.Add(time.Second)
 	ask.Least = 100 * time.Millisecond
-	one, refusal := g.Enter(start, ask)
+	ticket, refusal := g.Enter(start, ask)
 	assert.Assert(t, refusal == nil)
 	g.Expire(start.Add(800 * time.Millisecond))
-	assert.Assert(t, !admitted(one))
+	assert.Assert(t, !admitted(ticket))
 	g.Expire(start.Add(950 * time.Millisecond))
-	<-one.Ready()
-	assert.Assert(t, one.Refused().Late)
+	<-ticket.Ready()
+	assert.Assert(t, ticket.Refused().Late)
 	g.Leave(start, running, 1)
 	inFlight, waiting, _ := g.Counts()
 	assert.Equal(t, inFlight+waiting, 0)
@@ -115,8 +114,8 @@
 func TestWithdraw(t *testing.T) {
 	g := NewGate(DefaultOptions(), 1)
 	running, _ := g.Enter(start, request("a", 1, 1))
-	one, _ := g.Enter(start, request("a", 1, 1))
-	assert.Assert(t, !g.Withdraw(start, one))
+	ticket, _ := g.Enter(start, request("a", 1, 1))
+	assert.Assert(t, !g.Withdraw(start, ticket))
 	assert.Assert(t, g.Withdraw(start, running))
 	g.Leave(start, running, 1)
 	inFlight, waiting, _ := g.Counts()
@@ -138,7 +137,7 @@
 func BenchmarkEnterLeave(b *testing.B) {
 	g := NewGate(DefaultOptions(), 1000)
 	for b.Loop() {
-		one, _ := g.Enter(start, request("a", 1, 10))
-		g.Leave(start, one, 10)
+		ticket, _ := g.Enter(start, request("a", 1, 10))
+		g.Leave(start, ticket, 10)
 	}
 }
