--- a/pkretry/budget_test.go
+++ b/pkretry/budget_test.go
@@ -8,12 +8,12 @@
 	"pgregory.net/rapid"
 )
 
-func TestRepeatsStayWithinTheBoundOfEachWindow(t *testing.T) {
+func TestRetriesStayWithinLimitOfEachWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		terms := Terms{Ratio: 0.2, Slack: 40, Window: 10 * time.Second, Entries: rapid.IntRange(1, 8).Draw(t, "entries")}
 		var b Budget
 		now := time.Unix(1_000_000, 0)
-		var requests, repeats []time.Time
+		var requests, retries []time.Time
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "request") {
@@ -22,7 +22,7 @@
 				continue
 			}
 			if b.Repeat(now, terms) {
-				repeats = append(repeats, now)
+				retries = append(retries, now)
 			}
 			in := func(all []time.Time, ago time.Duration) float64 {
 				n := 0.0
@@ -33,18 +33,18 @@
 				}
 				return n
 			}
-			// Requests count in the window, the one before it or the one half a window
-			// before it, whichever has most.
+			// The bound uses the busiest of this window, the previous one and the one shifted by
+			// half a window.
 			most := max(in(requests, 0), in(requests, terms.Window/2), in(requests, terms.Window))
 			bound := terms.Ratio*most + terms.Slack/float64(terms.Entries)
-			if got := in(repeats, 0); got > bound {
-				t.Fatalf("%v repeats in a window, %v are allowed", got, bound)
+			if got := in(retries, 0); got > bound {
+				t.Fatalf("%v retries in a window, limit is %v", got, bound)
 			}
 		}
 	})
 }
 
-func TestRepeatsComeBackWithTheWindow(t *testing.T) {
+func TestRetriesAreAllowedAgainAfterWindow(t *testing.T) {
 	terms := Terms{Slack: 10, Window: 10 * time.Second}
 	var b Budget
 	now := time.Unix(1_000_000, 0)
@@ -57,9 +57,9 @@
 	assert.Assert(t, b.Repeat(now.Add(11*time.Second), terms))
 }
 
-// Engines crash twice, nine and a half seconds apart. Each time an entry repeats all that
-// its share allows. Both bursts lie in one window of ten seconds.
-func TestTwoBurstsInOneWindowShareItsBound(t *testing.T) {
+// Two bursts of retries 9.5 s apart lie within one window of 10 s. Guards against a window that is
+// short by up to a slot, which would allow each burst the full limit.
+func TestBurstsInOneWindowShareLimit(t *testing.T) {
 	terms := Terms{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}
 	for begin := range 10 {
 		var b Budget
@@ -73,6 +73,6 @@
 				spent++
 			}
 		}
-		assert.Assert(t, spent <= 20, "%d repeats in 9.5 s", spent)
+		assert.Assert(t, spent <= 20, "%d retries in 9.5 s, limit is 20", spent)
 	}
 }
--- a/pkretry/doc.go
+++ b/pkretry/doc.go
@@ -1,6 +1,6 @@
-// Package pkretry bounds how often requests are sent once more.
+// Package pkretry bounds the number of retries.
 //
-// A retry helps one request and adds load for all; when targets fail, retries
-// without a bound multiply the load just then. The bound holds over all entries
-// together, so each spends its part only.
+// A retry helps one request and adds load for all others; when targets fail, unbounded retries
+// multiply the load. The budget applies to all entries together, so each entry spends only its
+// part.
 package pkretry
