--- a/pkclaim/doc.go
+++ b/pkclaim/doc.go
@@ -1,8 +1,7 @@
-// Package pkclaim keeps a caller's idempotency key from running a call twice.
+// Package pkclaim deduplicates calls by the caller's idempotency key.
 //
-// A call that carries a key is run only if the key can be claimed. Claims are
-// kept in memory by the two entries of the neighborhood that rendezvous hashing
-// puts first for the key, and both must grant it. When one member comes or
-// goes, the first two change by one at the most, so one entry that knows the
-// key is always asked again. A call that ended as not run gives its claim back.
+// A call with a key runs only if the key can be claimed. Claims are held in memory by the two
+// entries of the neighborhood that rank first for the key by rendezvous hashing, and both must
+// grant it. When one member joins or leaves, at most one of the two changes, so at least one entry
+// that knows the key is asked again. A call that did not run releases its claim.
 package pkclaim
--- a/pkclaim/table.go
+++ b/pkclaim/table.go
@@ -11,81 +11,81 @@
 	"peridotknot.example/pkid"
 )
 
-// Key is a digest of account, service and the caller's key, so that no text of
-// a caller travels or is kept.
+// Key is a digest of the account, the service and the caller's key, so that no text chosen by a
+// caller is sent to peers or stored.
 type Key string
 
-// KeyOf returns the digest under which a caller's key is claimed.
+// KeyOf returns the digest of a caller's key.
 func KeyOf(account pkid.AccountID, service pkid.ServiceID, key string) Key {
-	const bytes = 16
+	const digestBytes = 16
 	sum := sha256.Sum256([]byte(string(account) + "\x00" + string(service) + "\x00" + key))
-	return Key(hex.EncodeToString(sum[:bytes]))
+	return Key(hex.EncodeToString(sum[:digestBytes]))
 }
 
 const (
-	// keepFor is how long a claim is remembered: longer than any deadline and
-	// than callers go on trying.
-	keepFor = 15 * time.Minute
-	shards  = 16
-	// most bounds the claims of one shard. A full shard refuses new keys
-	// rather than forget one.
-	most = 1 << 16
+	// retention is how long a claim is kept: longer than any deadline and than callers keep
+	// retrying.
+	retention  = 15 * time.Minute
+	shardCount = 16
+	// maxClaims bounds the claims of one shard. A full shard refuses new keys instead of evicting
+	// claims.
+	maxClaims = 1 << 16
 )
 
-// Table is the claims that one entry keeps; the zero value is empty.
+// Table holds the claims of one entry; the zero value is empty.
 type Table struct {
-	shard [shards]shard
+	shards [shardCount]shard
 }
 
 type shard struct {
-	mu     sync.Mutex
-	claims map[Key]claim
-	swept  time.Time
+	mu      sync.Mutex
+	claims  map[Key]claim
+	sweptAt time.Time
 }
 
 type claim struct {
-	holder pkid.RequestID
-	until  time.Time
+	holder    pkid.RequestID
+	expiresAt time.Time
 }
 
-func (t *Table) of(k Key) *shard {
-	return &t.shard[xxhash.Sum64String(string(k))%shards]
+func (t *Table) shardOf(k Key) *shard {
+	return &t.shards[xxhash.Sum64String(string(k))%shardCount]
 }
 
-// Claim claims a key for a request and says whether it was free. The same
-// request may ask again: its first answer can have been lost.
+// Claim claims a key for a request and reports whether the request holds it. The same request may
+// claim again, since the first answer can be lost.
 func (t *Table) Claim(now time.Time, k Key, holder pkid.RequestID) bool {
-	s := t.of(k)
+	s := t.shardOf(k)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sweep(now)
-	if old, found := s.claims[k]; found && now.Before(old.until) {
+	if old, found := s.claims[k]; found && now.Before(old.expiresAt) {
 		return old.holder == holder
 	}
-	if len(s.claims) >= most {
+	if len(s.claims) >= maxClaims {
 		return false
 	}
 	if s.claims == nil {
 		s.claims = map[Key]claim{}
 	}
-	s.claims[k] = claim{holder: holder, until: now.Add(keepFor)}
+	s.claims[k] = claim{holder: holder, expiresAt: now.Add(retention)}
 	return true
 }
 
-// Held is a claim that stands.
+// Held is an active claim.
 type Held struct {
 	Key    Key
 	Holder pkid.RequestID
 }
 
-// All returns the claims that stand at now.
+// All returns the claims active at now.
 func (t *Table) All(now time.Time) []Held {
 	var out []Held
-	for i := range t.shard {
-		s := &t.shard[i]
+	for i := range t.shards {
+		s := &t.shards[i]
 		s.mu.Lock()
 		for k, c := range s.claims {
-			if now.Before(c.until) {
+			if now.Before(c.expiresAt) {
 				out = append(out, Held{Key: k, Holder: c.holder})
 			}
 		}
@@ -94,9 +94,9 @@
 	return out
 }
 
-// Release gives a claim back whose call was not run.
+// Release drops the claim of a call that did not run.
 func (t *Table) Release(k Key, holder pkid.RequestID) {
-	s := t.of(k)
+	s := t.shardOf(k)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.claims[k].holder == holder {
@@ -105,13 +105,13 @@
 }
 
 func (s *shard) sweep(now time.Time) {
-	const sweepEvery = time.Minute
-	if now.Sub(s.swept) < sweepEvery {
+	const sweepInterval = time.Minute
+	if now.Sub(s.sweptAt) < sweepInterval {
 		return
 	}
-	s.swept = now
+	s.sweptAt = now
 	for k, c := range s.claims {
-		if !now.Before(c.until) {
+		if !now.Before(c.expiresAt) {
 			delete(s.claims, k)
 		}
 	}
--- a/pkclaim/table_test.go
+++ b/pkclaim/table_test.go
@@ -18,20 +18,19 @@
 	var table Table
 	k := KeyOf("a", "s", "key")
 	assert.Assert(t, table.Claim(start, k, "one"))
-	assert.Assert(t, table.Claim(start, k, "one"), "the same request asks again")
+	assert.Assert(t, table.Claim(start, k, "one"), "the same request may claim again")
 	assert.Assert(t, !table.Claim(start, k, "two"))
 	table.Release(k, "two")
-	assert.Assert(t, !table.Claim(start, k, "two"), "only the holder gives back")
+	assert.Assert(t, !table.Claim(start, k, "two"), "only the holder may release")
 	table.Release(k, "one")
 	assert.Assert(t, table.Claim(start, k, "two"))
-	assert.Assert(t, table.Claim(start.Add(keepFor), k, "three"), "old claims end")
+	assert.Assert(t, table.Claim(start.Add(retention), k, "three"), "claims expire")
 	assert.Assert(t, KeyOf("a", "s", "key") != KeyOf("b", "s", "key"))
 	assert.Assert(t, KeyOf("a", "b", "c") != KeyOf("ab", "", "c"))
 }
 
-// A caller sends one key to two entries. Between the two, a member joins or
-// goes, and the entries may not agree yet. Whichever two entries each of them
-// asks, one must be asked by both and refuse the second.
+// A key is sent to two entries whose member lists differ by one join or leave. At least one member
+// must be asked by both and refuse the second claim.
 func TestOneChangeOfMembersKeepsTheClaim(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 12).Draw(t, "members")
