--- a/pkverdict/verdict.go
+++ b/pkverdict/verdict.go
@@ -5,18 +5,18 @@
 	"fmt"
 )
 
-// Verdict says whether a request may have run on a target; the zero value is
-// MayHaveRun, so that a forgotten verdict promises nothing.
+// Verdict tells whether a request may have run on a target. The zero value is MayHaveRun, so that
+// an unset verdict guarantees nothing.
 type Verdict uint8
 
-// Verdicts from the weakest promise on.
+// Verdicts on a request.
 const (
 	MayHaveRun Verdict = iota
 	NotRun
 	Ran
 )
 
-// String returns the verdict as it stands in headers, bodies and logs.
+// String returns the verdict as used in headers, bodies and logs.
 func (v Verdict) String() string {
 	switch v {
 	case NotRun:
@@ -28,12 +28,12 @@
 	}
 }
 
-// MayRepeat says whether a request that ended with v may be sent again.
+// MayRepeat reports whether a request that ended with v may be retried.
 func (v Verdict) MayRepeat(idempotent bool) bool {
 	return v == NotRun || (v == MayHaveRun && idempotent)
 }
 
-// Join returns the verdict over two attempts of one request.
+// Join returns the combined verdict of two attempts of one request.
 func Join(a, b Verdict) Verdict {
 	if a == Ran || b == Ran {
 		return Ran
@@ -44,15 +44,15 @@
 	return MayHaveRun
 }
 
-// Progress is what an attempt had seen of its exchange when it ended.
+// Progress is the state of an attempt's exchange when it ended.
 type Progress struct {
-	// Connected is set once a connection was handed to the attempt.
+	// Connected is set once the attempt has a connection.
 	Connected bool
 	// Written is set once any byte of the request may have left this VM.
 	Written bool
-	// Refused is set when the target answered that it did not start.
+	// Refused is set if the target answered that it did not start the request.
 	Refused bool
-	// Answered is set once the head of an answer was read.
+	// Answered is set once the response header was read.
 	Answered bool
 }
 
@@ -66,39 +66,37 @@
 	case p.Written:
 		return MayHaveRun
 	default:
-		// Without a connection there is nowhere a byte could have gone.
+		// No byte of the request was sent.
 		return NotRun
 	}
 }
 
-// ErrStopping is the cause of a context that ends because this VM stops.
+// ErrStopping is the cause of a context canceled because this VM is stopping.
 var ErrStopping = errors.New("this VM is stopping")
 
-// Error is a failure together with its verdict.
+// Error is a failure with its verdict.
 type Error struct {
-	// Verdict says whether the request may have run.
 	Verdict Verdict
-	// Reason is a short snake case word for metrics and bodies.
+	// Reason is a short snake case identifier used in metrics and bodies.
 	Reason Reason
-	// Err is the cause.
-	Err error
+	Err    error
 }
 
-// Reason is a short snake case word that names why a request failed.
+// Reason is a short snake case identifier of why a request failed.
 type Reason string
 
-// Reasons that callers can meet.
+// Reasons reported to callers.
 const (
 	ReasonOverload   Reason = "overload"
 	ReasonDeadline   Reason = "deadline"
 	ReasonNoRoute    Reason = "no_route"
 	ReasonTargetLost Reason = "target_lost"
-	// ReasonUnreachable says that no connection was made: nothing reached the target.
+	// ReasonUnreachable means that no connection was established, so nothing reached the target.
 	ReasonUnreachable Reason = "unreachable"
 	ReasonRefused     Reason = "refused"
 	ReasonStopping    Reason = "stopping"
 	ReasonCanceled    Reason = "canceled"
-	// ReasonQuarantined says that replicas have ended under the request.
+	// ReasonQuarantined means that the request is quarantined because replicas have ended under it.
 	ReasonQuarantined Reason = "quarantined"
 )
 
--- a/pkverdict/verdict_test.go
+++ b/pkverdict/verdict_test.go
@@ -23,10 +23,9 @@
 	}
 }
 
-// A caller who reads "not run" sends the request again. If any byte of the
-// first one had left, the target may run it twice; so no sequence of attempts
-// in which one was written may end as NotRun unless the target refused it.
-func TestNotRunIsAPromise(t *testing.T) {
+// Callers resend a request that is reported as not run. Guards against reporting NotRun for any
+// sequence of attempts in which one was sent and not refused, since the request could run twice.
+func TestNotRunIsNeverReportedAfterSend(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := NotRun
 		unsafe := false
@@ -41,7 +40,7 @@
 			total = Join(total, Decide(p))
 		}
 		if unsafe && total == NotRun {
-			t.Fatal("told not run after a request was sent")
+			t.Fatal("verdict is NotRun although a request was sent")
 		}
 		if !unsafe && total != NotRun {
 			t.Fatal("nothing was sent, but the verdict is not NotRun")
@@ -54,6 +53,6 @@
 	assert.Assert(t, !MayHaveRun.MayRepeat(false))
 	assert.Assert(t, MayHaveRun.MayRepeat(true))
 	assert.Assert(t, !Ran.MayRepeat(true))
-	var forgotten Verdict
-	assert.Assert(t, !forgotten.MayRepeat(false))
+	var unset Verdict
+	assert.Assert(t, !unset.MayRepeat(false))
 }
