--- a/pkwait/doc.go
+++ b/pkwait/doc.go
@@ -1,3 +1,3 @@
-// Package pkwait ends calls that wait once something else has shown that they wait for nothing: a
-// watch has no answer while nothing changes, and none either when it can no longer be answered.
+// Package pkwait cancels groups of waiting calls. A watch that is idle cannot be told from one
+// whose answer will never come, so it is canceled once another signal shows that it waits in vain.
 package pkwait
--- a/pkwait/group.go
+++ b/pkwait/group.go
@@ -5,34 +5,34 @@
 	"sync"
 )
 
-// Group is calls that wait and can be ended together; the zero value has none.
+// Group is a set of waiting calls that can be canceled together; the zero value is empty.
 type Group struct {
-	mu  sync.Mutex
-	all map[*context.CancelCauseFunc]bool
+	mu      sync.Mutex
+	cancels map[*context.CancelCauseFunc]bool
 }
 
-// Begin returns a context for a call, and what to call once the call has ended.
+// Begin returns a context for a call and a function to call when the call has ended.
 func (g *Group) Begin(ctx context.Context) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.all == nil {
-		g.all = map[*context.CancelCauseFunc]bool{}
+	if g.cancels == nil {
+		g.cancels = map[*context.CancelCauseFunc]bool{}
 	}
-	g.all[&cancel] = true
+	g.cancels[&cancel] = true
 	return ctx, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		delete(g.all, &cancel)
+		delete(g.cancels, &cancel)
 		cancel(nil)
 	}
 }
 
-// End ends all calls that have begun and not ended; context.Cause of their contexts is why.
-func (g *Group) End(why error) {
+// End cancels all calls in progress; context.Cause of their contexts returns cause.
+func (g *Group) End(cause error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for cancel := range g.all {
-		(*cancel)(why)
+	for cancel := range g.cancels {
+		(*cancel)(cause)
 	}
 }
--- a/pkwait/group_test.go
+++ b/pkwait/group_test.go
@@ -8,18 +8,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against calls that begin after an end and are ended by it too, and against ended ones that
-// seem to have ended for it.
-func TestOnlyCallsUnderWayAreEnded(t *testing.T) {
-	why := errors.New("pointless")
+// Guards against canceling calls that begin later, and against a changed cause of calls that had
+// already ended.
+func TestEndCancelsOnlyCallsInProgress(t *testing.T) {
+	cause := errors.New("watch is stale")
 	var g Group
-	over, ended := g.Begin(t.Context())
+	finished, ended := g.Begin(t.Context())
 	ended()
 	ctx, ended := g.Begin(t.Context())
 	defer ended()
-	g.End(why)
-	assert.Equal(t, context.Cause(ctx), why)
-	assert.Equal(t, context.Cause(over), context.Canceled)
+	g.End(cause)
+	assert.Equal(t, context.Cause(ctx), cause)
+	assert.Equal(t, context.Cause(finished), context.Canceled)
 	later, ended := g.Begin(t.Context())
 	defer ended()
 	assert.NilError(t, later.Err())
