--- a/pkstream/relay.go
+++ b/pkstream/relay.go
@@ -6,7 +6,7 @@
 	"peridotknot.example/pkid"
 )
 
-// Relay is the state of one answer; the zero value is an answer not begun.
+// Relay is the state of one answer; the zero value is an answer that has not begun.
 type Relay struct {
 	attempt pkid.Attempt
 	next    pkid.Index
@@ -14,10 +14,10 @@
 	dropped int
 }
 
-// Step says what to do with a token.
+// Step is the action to take for a token.
 type Step uint8
 
-// Steps for a token.
+// Actions for a token.
 const (
 	// Drop means that the token is late or repeated.
 	Drop Step = iota
@@ -27,14 +27,14 @@
 	Replace
 )
 
-// Begin starts the next attempt and returns its number; tokens of earlier
-// attempts are dropped from here on.
+// Begin starts the next attempt and returns its number; tokens of earlier attempts are dropped from
+// then on.
 func (r *Relay) Begin() pkid.Attempt {
 	r.attempt++
 	return r.attempt
 }
 
-// Token takes a token from an attempt and says what to do with it.
+// Token records a token of an attempt and returns what to do with it.
 func (r *Relay) Token(attempt pkid.Attempt, index pkid.Index) Step {
 	if attempt != r.attempt || r.ended {
 		r.dropped++
@@ -45,18 +45,17 @@
 		r.next++
 		return Deliver
 	case index < r.next:
-		// A resumed engine may send again what it was told is delivered.
+		// A resumed engine may resend tokens that were already delivered.
 		r.dropped++
 		return Drop
 	default:
-		// A gap cannot be filled by this attempt: the caller would see a
-		// sentence with words missing, and nothing later could tell.
+		// This attempt cannot fill the gap; delivering the token would silently skip text.
 		return Replace
 	}
 }
 
-// End takes the end mark of an attempt, with the number of tokens that the
-// engine says the whole answer has. An answer is whole only with this mark.
+// End records the end marker of an attempt with the total number of tokens that the engine reports.
+// An answer without it is incomplete.
 func (r *Relay) End(attempt pkid.Attempt, total pkid.Index) error {
 	if attempt != r.attempt || r.ended {
 		return fmt.Errorf("end mark of attempt %d while attempt %d is live", attempt, r.attempt)
@@ -68,11 +67,11 @@
 	return nil
 }
 
-// Next returns the index that the caller needs next.
+// Next returns the index of the next token to deliver.
 func (r *Relay) Next() pkid.Index { return r.next }
 
-// Ended says whether the answer is whole.
+// Ended reports whether the answer is complete.
 func (r *Relay) Ended() bool { return r.ended }
 
-// Dropped returns how many late or repeated tokens were dropped.
+// Dropped returns the number of late or repeated tokens dropped.
 func (r *Relay) Dropped() int { return r.dropped }
--- a/pkstream/relay_test.go
+++ b/pkstream/relay_test.go
@@ -9,10 +9,8 @@
 	"peridotknot.example/pkid"
 )
 
-// The caller reads one answer while attempts are replaced and superseded ones
-// go on sending. Tokens of all attempts cross in any order. Whatever comes, the
-// caller must see 0, 1, 2, … each once: a repeated token doubles a word, a
-// skipped one drops it, and neither shows later.
+// Attempts are replaced while superseded ones keep sending, and tokens arrive in any order. Guards
+// against repeated or skipped indexes, which callers cannot detect.
 func TestDeliversEachIndexOnceInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r Relay
@@ -51,7 +49,7 @@
 	assert.ErrorContains(t, r.End(a, 2), "end mark")
 }
 
-func TestGapReplacesTheAttempt(t *testing.T) {
+func TestGapReplacesAttempt(t *testing.T) {
 	var r Relay
 	assert.Equal(t, r.Token(r.Begin(), 1), Replace)
 }
