--- a/pkedge/attempt.go
+++ b/pkedge/attempt.go
@@ -63,11 +63,11 @@
 // newAttempt returns an attempt and reserves its load on the targets of its path.
 func (c *call) newAttempt(now time.Time, s *pkconfig.Service, p targetPath, cancel context.CancelCauseFunc) *attempt {
 	a := &attempt{
-		call: c, service: s, began: now, lastEventAt: now, tokens: c.size(s.Engine), cancel: cancel, path: p,
+		call: c, service: s, began: now, lastEventAt: now, tokens: c.estimatedTokens(s.Engine), cancel: cancel, path: p,
 		canRetry:   c.route.Repeatable() && c.runs+1 < c.route.MaxAttempts,
 		drainDelay: drainDelayMin + rand.N(drainDelayMax-drainDelayMin),
 	}
-	p.reserve(now, s.Engine, &c.pipes, a.tokens, float64(c.req.Ask.PromptTokens), c.sharing.toldAfter())
+	p.reserve(now, s.Engine, &c.pipes, a.tokens, float64(c.req.Ask.PromptTokens), c.gossip.reportDelay())
 	c.streams.add(a)
 	return a
 }
--- a/pkedge/bench_test.go
+++ b/pkedge/bench_test.go
@@ -27,7 +27,7 @@
 		w.Add(platformtest.Pool, fmt.Sprintf("i-%d", i), "a")
 	}
 	n := start(b, w, "one")
-	n.streams(b)
+	n.waitForStream(b)
 	const length, atOnce = 100, 50
 	began := processorTime(b)
 	count := 0
--- a/pkedge/breaker_test.go
+++ b/pkedge/breaker_test.go
@@ -22,7 +22,7 @@
 		renewed := make(chan struct{})
 		go func() {
 			defer close(renewed)
-			time.Sleep(lost + leaseEvery/2)
+			time.Sleep(lost + leaseRenewInterval/2)
 			b.recordLeaseRenewal(time.Now())
 		}()
 		for range loops {
--- a/pkedge/broadcast.go
+++ b/pkedge/broadcast.go
@@ -8,63 +8,64 @@
 	"peridotknot.example/pkshare"
 )
 
-// broadcast leaves a message for all links where it says something new, and what
-// single entries miss beside it. What a hub tells is always new where one is due.
-func (d *Daemon) broadcast(now time.Time, m pkshare.Message, due, news bool) {
-	s := &d.sharing
+// broadcast enqueues a message at all links if it has changed, or if a message between hubs is due.
+// State that a single receiver lacks is added to its message.
+func (d *Daemon) broadcast(now time.Time, m pkshare.Message, due, changed bool) {
+	s := &d.gossip
 	sums := d.sums(now, m, due)
-	if news {
+	if changed {
 		s.table.Told(m)
 	}
 	ids := map[string]pkid.EntryID{}
 	for _, one := range s.table.Members(now) {
 		ids[one.Addr] = one.ID
 	}
-	encoded := map[toldAs][]byte{}
+	encoded := map[messageForm][]byte{}
 	for addr, l := range s.links {
 		connected := l.connected.Swap(false)
 		if connected {
 			s.table.Reconnected(ids[addr])
 		}
-		as := toldAs{role: l.role, whole: connected || l.lacks}
-		tell := sums.message(m, as)
-		helps := d.help(now, &tell, ids[addr], l.role)
+		form := messageForm{role: l.role, complete: connected || l.incomplete}
+		out := sums.message(m, form)
+		extended := d.addMissing(now, &out, ids[addr], l.role)
 		switch {
-		case helps:
-			l.put(d.encode(tell))
-		case news || connected || (due && l.role != pkshare.Peer):
-			if encoded[as] == nil {
-				encoded[as] = d.encode(tell)
+		case extended:
+			l.enqueue(d.encode(out))
+		case changed || connected || (due && l.role != pkshare.Peer):
+			if encoded[form] == nil {
+				encoded[form] = d.encode(out)
 			}
-			l.put(encoded[as])
+			l.enqueue(encoded[form])
 		}
 	}
 }
 
-// toldAs is a form in which a message is told: for a role, and whole or by what changed.
-type toldAs struct {
-	role  pkshare.Role
-	whole bool
+// messageForm is a form of a message: for a role, and with complete sums or their changes only.
+type messageForm struct {
+	role     pkshare.Role
+	complete bool
 }
 
-// hubSums is what a hub tells in place of its own loads, by role; empty where there are no hubs.
+// hubSums are the sums of loads, by role, that are sent in place of an entry's own loads; empty
+// without hubs.
 type hubSums map[pkshare.Role]pkshare.SumFor
 
-// loadGrain is the share of a target's memory for requests by which its load must change to be
-// told by hubs: a few usual requests, less than what is unknown of their lengths.
-const loadGrain = 0.04
+// loadThresholdShare is the share of a target's request memory by which its load must change to be
+// sent by hubs. It equals a few usual requests and is below the error of their estimated lengths.
+const loadThresholdShare = 0.04
 
-// sums returns what hubs tell at now: new sums where one is due, else what was told last.
+// sums returns the sums to send at now: new ones if they are due, or else the previous ones.
 func (d *Daemon) sums(now time.Time, m pkshare.Message, due bool) hubSums {
-	s := &d.sharing
-	if !s.withHubs.Load() || !s.tellsSums() {
+	s := &d.gossip
+	if !s.withHubs.Load() || !s.sendsSums() {
 		return nil
 	}
 	near, all := s.table.Sums(now, m)
 	out := hubSums{}
 	for role, sum := range map[pkshare.Role]pkshare.Sum{pkshare.OfHub: all, pkshare.FarHub: near} {
 		if due {
-			out[role] = s.table.Tell(role, sum, d.grain)
+			out[role] = s.table.Tell(role, sum, d.loadThreshold)
 		} else {
 			out[role] = s.table.Again(role, sum)
 		}
@@ -72,8 +73,8 @@
 	return out
 }
 
-// tellsSums says whether some link leads to an entry that is told a sum.
-func (s *sharing) tellsSums() bool {
+// sendsSums reports whether there is a link with a role that receives sums.
+func (s *gossip) sendsSums() bool {
 	for _, l := range s.links {
 		if l.role != pkshare.Peer {
 			return true
@@ -82,21 +83,21 @@
 	return false
 }
 
-// message returns a message in a form.
-func (h hubSums) message(m pkshare.Message, as toldAs) pkshare.Message {
-	sum, tells := h[as.role]
-	if !tells {
+// message returns a message in the given form.
+func (h hubSums) message(m pkshare.Message, form messageForm) pkshare.Message {
+	sum, found := h[form.role]
+	if !found {
 		return m
 	}
 	m.Loads, m.Flows, m.Sum = nil, nil, &sum.Changes
-	if as.whole {
+	if form.complete {
 		m.Sum = &sum.Whole
 	}
 	return m
 }
 
-// grain returns by how much a target's load must change to be told by hubs.
-func (d *Daemon) grain(id pkid.TargetID) float64 {
+// loadThreshold returns the change of a target's load from which on hubs send it.
+func (d *Daemon) loadThreshold(id pkid.TargetID) float64 {
 	t, found := d.roster.Target(id)
 	table := d.book.Table()
 	if !found || table == nil {
@@ -107,14 +108,14 @@
 		return 0
 	}
 	held := t.Held.Len()
-	return max(loadGrain*s.Engine.Room(t.Kind, held)*float64(held), 0)
+	return max(loadThresholdShare*s.Engine.Room(t.Kind, held)*float64(held), 0)
 }
 
-// encode returns a message as it is sent; what cannot be written is not sent.
+// encode returns an encoded message, or nil if that fails.
 func (d *Daemon) encode(m pkshare.Message) []byte {
 	raw, err := pkpeer.Encode(m)
 	if err != nil {
-		d.log.Error("a message to peers was not written", "error", err)
+		d.log.Error("message to peers was not encoded", "error", err)
 		return nil
 	}
 	return raw
--- a/pkedge/call.go
+++ b/pkedge/call.go
@@ -17,7 +17,7 @@
 	"peridotknot.example/pkverdict"
 )
 
-// call is one request of a caller on its way through the daemon.
+// call is a caller's request in progress.
 type call struct {
 	*Daemon
 	w       http.ResponseWriter
@@ -27,48 +27,49 @@
 	service pkid.ServiceID
 	account pkid.AccountID
 	req     pkforward.Request
-	// digest is the same for requests that differ by their ids alone; zero until the body is read.
+	// digest is the same for requests that differ only in their ids; zero until the body is read.
 	digest pkquarantine.Digest
 	began  time.Time
-	// deadline is when the caller, or the operator for it, waits no longer.
+	// deadline is the earliest of the caller's, the route's and the default deadline.
 	deadline time.Time
-	// sends and runs count targets that the request was sent to, and those of them
-	// that may have run it.
+	// sends counts the sends of the request, runs the failed ones whose targets may have run it.
 	sends int
 	runs  int
-	// arrived counts the sends that may have reached a target.
-	arrived int
-	// tried are targets that are not tried again.
+	// delivered counts the failed sends that may have reached a target.
+	delivered int
+	// tried lists the targets that are not tried again.
 	tried []pkid.TargetID
-	// paid says that the next send was counted in the retry budget already.
-	paid bool
-	// begun says that the answer's head has gone out.
-	begun bool
-	// path is the path of the last send of a stream, firstEvent the time to its
-	// first event, events how many went out.
+	// charged is set if the next send was charged to the retry budget already.
+	charged bool
+	// headSent is set once the head of the answer was sent to the caller.
+	headSent bool
+	// path is the path of the last send of a stream, firstEvent the time from the start of the
+	// request to the first event, and events the number of events sent to the caller.
 	path       string
 	firstEvent time.Duration
 	events     int
-	// lastEvent is when the last event went out, longest the longest pause.
-	lastEvent time.Time
-	longest   time.Duration
-	mended    int
+	// lastEventAt is when the last event was sent, longestPause the longest time between two
+	// events.
+	lastEventAt  time.Time
+	longestPause time.Duration
+	// reroutes counts the path changes of all attempts.
+	reroutes int
 }
 
-// rejection is a final answer of the router's own.
+// rejection is an error answer of the router itself.
 type rejection struct {
 	status     int
 	retryAfter time.Duration
 	reason     string
 }
 
-// Error returns the reason.
+// Error returns the reason and the status.
 func (r *rejection) Error() string { return fmt.Sprintf("%s (status %d)", r.reason, r.status) }
 
-// errCallerLeft ends the work of a request whose caller has gone.
-var errCallerLeft = errors.New("the caller has left")
+// errCallerLeft ends a request whose caller has disconnected.
+var errCallerLeft = errors.New("caller has disconnected")
 
-// finish gives the final answer of a request that failed, and logs the outcome.
+// finish logs the outcome of a request and answers one that failed.
 func (c *call) finish(err error) {
 	took := time.Since(c.began)
 	outcome := "answered"
@@ -88,13 +89,13 @@
 	}
 	c.metrics.requests.WithLabelValues(kind, outcome).Inc()
 	c.log.Info("request", "request_id", c.req.Ask.ID, "digest", c.digest.String(), "route", name, "kind", kind, "account", c.account,
-		"outcome", outcome, "sends", c.sends, "runs", c.runs, "ms", took.Milliseconds(), "config", c.version(), "path", c.path, "first_ms", c.firstEvent.Milliseconds(), "events", c.events, "pause_ms", c.longest.Milliseconds(),
-		"mended", c.mended, "error", err)
+		"outcome", outcome, "sends", c.sends, "runs", c.runs, "ms", took.Milliseconds(), "config", c.version(), "path", c.path, "first_ms", c.firstEvent.Milliseconds(), "events", c.events, "pause_ms", c.longestPause.Milliseconds(),
+		"mended", c.reroutes, "error", err)
 	switch {
 	case err == nil:
-	case c.begun || rej == nil:
-		// The answer has begun, or nobody waits for one. A connection that merely
-		// ended would make a cut answer look whole.
+	case c.headSent || rej == nil:
+		// The answer has started or the caller has left. Aborting the connection shows the caller
+		// that the answer is incomplete.
 		panic(http.ErrAbortHandler)
 	default:
 		c.reject(rej)
@@ -120,7 +121,7 @@
 	c.w.WriteHeader(rej.status)
 }
 
-// identity returns what makes the request the same when it comes again.
+// identity returns the parts of the request that its digest covers.
 func (c *call) identity() pkquarantine.Identity {
 	r := &c.req
 	return pkquarantine.Identity{Account: c.account, Method: r.Method, Host: hostOf(r.Host), URI: r.URI, Body: r.Body}
@@ -151,8 +152,8 @@
 	return hostport
 }
 
-// readBody reads the caller's body whole: what may be sent again must be kept, and
-// net/http notices that a caller leaves only once its body is read.
+// readBody reads the complete body: it may have to be sent again, and net/http detects that a
+// caller disconnects only after the body was read.
 func (c *call) readBody() error {
 	limit := c.table.Limits.BodyBytes
 	if limit <= 0 {
@@ -163,14 +164,14 @@
 		return &rejection{status: http.StatusRequestEntityTooLarge, reason: "body_too_large"}
 	}
 	control := http.NewResponseController(c.w)
-	if err := control.SetWriteDeadline(c.deadline.Add(writeSlack)); err != nil {
+	if err := control.SetWriteDeadline(c.deadline.Add(writeGrace)); err != nil {
 		return err
 	}
 	c.req.Method, c.req.Host, c.req.URI, c.req.Header = c.r.Method, c.r.Host, c.r.RequestURI, c.r.Header
 	if c.r.ContentLength == 0 {
 		return nil
 	}
-	if err := control.SetReadDeadline(c.began.Add(bodyTime)); err != nil {
+	if err := control.SetReadDeadline(c.began.Add(bodyTimeout)); err != nil {
 		return err
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, limit))
@@ -185,9 +186,9 @@
 	return control.SetReadDeadline(time.Time{})
 }
 
-// ended returns the final answer of a request whose time is up or whose targets
-// failed. Only one that no target can have run is told as not run.
-func (c *call) ended(ctx context.Context, verdict pkverdict.Verdict, cause error) error {
+// finalError returns the error answer of a request whose deadline has passed or whose targets
+// failed. Only a request that no target can have run is reported as not run.
+func (c *call) finalError(ctx context.Context, verdict pkverdict.Verdict, cause error) error {
 	if c.r.Context().Err() != nil {
 		return errCallerLeft
 	}
@@ -196,13 +197,13 @@
 	case errors.Is(cause, errQuarantined):
 		return c.quarantineRejection(time.Now(), verdict)
 	case verdict == pkverdict.NotRun && late:
-		return &rejection{status: http.StatusServiceUnavailable, retryAfter: retryLate, reason: "deadline_not_run"}
+		return &rejection{status: http.StatusServiceUnavailable, retryAfter: retryAfterTimeout, reason: "deadline_not_run"}
 	case verdict == pkverdict.NotRun:
-		return &rejection{status: http.StatusServiceUnavailable, retryAfter: retrySoon, reason: "no_target"}
+		return &rejection{status: http.StatusServiceUnavailable, retryAfter: retryAfterFailure, reason: "no_target"}
 	case late:
 		return &rejection{status: http.StatusGatewayTimeout, reason: "deadline"}
 	default:
-		c.log.Warn("a request failed at its targets", "request_id", c.req.Ask.ID, "error", cause)
+		c.log.Warn("request failed at its targets", "request_id", c.req.Ask.ID, "error", cause)
 		return &rejection{status: http.StatusBadGateway, reason: "target_lost"}
 	}
 }
--- /dev/null
+++ b/pkedge/callerserver.go
@@ -0,0 +1,151 @@
+package pkedge
+
+import (
+	"context"
+	"net/http"
+	"sync"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+
+	"peridotknot.example/pkconfig"
+	"peridotknot.example/pkverdict"
+)
+
+const (
+	// configTimeout is how long connections wait for the first configuration before requests are
+	// refused for lack of one.
+	configTimeout = 2 * time.Second
+	// writeGrace is the time that a caller has after the deadline to read the rest of an answer.
+	writeGrace = time.Second
+	// bodyTimeout bounds the time that a caller may take to send a body.
+	bodyTimeout = 10 * time.Second
+	// defaultTimeout bounds a request if neither its route nor its caller sets a shorter time.
+	defaultTimeout = 60 * time.Second
+)
+
+// defaultLimits apply while no configuration is known.
+var defaultLimits = pkconfig.Limits{HeaderBytes: 16 << 10, BodyBytes: 4 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
+
+// callerServer serves the HTTP requests of callers.
+type callerServer struct {
+	d  *Daemon
+	mu sync.Mutex
+	// server is nil until the limits are known.
+	server *http.Server
+	closed bool
+}
+
+func newCallerServer(d *Daemon) *callerServer { return &callerServer{d: d} }
+
+// run serves callers until ctx ends. It waits up to configTimeout for the first configuration,
+// which sets the server's limits; connections queue in the listener meanwhile.
+func (s *callerServer) run(ctx context.Context) error {
+	wait := time.NewTimer(configTimeout)
+	defer wait.Stop()
+	select {
+	case <-s.d.configured:
+	case <-wait.C:
+	case <-ctx.Done():
+		return nil
+	}
+	limits := defaultLimits
+	if table := s.d.book.Table(); table != nil {
+		limits = table.Limits
+	}
+	s.mu.Lock()
+	if s.closed {
+		s.mu.Unlock()
+		return nil
+	}
+	s.server = &http.Server{
+		Handler:           http.HandlerFunc(s.serve),
+		ReadHeaderTimeout: limits.HeaderTimeout,
+		IdleTimeout:       limits.IdleTimeout,
+		MaxHeaderBytes:    limits.HeaderBytes,
+		ErrorLog:          s.d.log.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug}),
+	}
+	s.mu.Unlock()
+	return untilDone(ctx, s.server.Serve(s.d.callers))
+}
+
+func (s *callerServer) close() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.closed = true
+	if s.server == nil {
+		_ = s.d.callers.Close() // nothing was accepted from it
+		return
+	}
+	_ = s.server.Close() // requests had until the end of the grace period
+}
+
+func (s *callerServer) shutdown(ctx context.Context) error {
+	s.mu.Lock()
+	server := s.server
+	s.mu.Unlock()
+	if server == nil {
+		return nil
+	}
+	return server.Shutdown(ctx)
+}
+
+func (s *callerServer) serve(w http.ResponseWriter, r *http.Request) {
+	d := s.d
+	d.active.Add(1)
+	defer d.active.Add(-1)
+	c := &call{Daemon: d, w: w, r: r, began: time.Now(), table: d.book.Table()}
+	h := w.Header()
+	// Keeps net/http from adding headers that the target did not send.
+	h["Date"] = nil
+	h["Content-Type"] = nil
+	if d.stopping.Load() {
+		h["Connection"] = []string{"close"}
+	}
+	err := c.run()
+	c.finish(err)
+}
+
+// run serves one request and returns once the answer was sent or cannot be.
+func (c *call) run() error {
+	if c.table == nil {
+		return &rejection{status: http.StatusServiceUnavailable, retryAfter: time.Second, reason: "no_configuration"}
+	}
+	c.req.Ask = c.Dialect.Ask(c.r.Header)
+	if err := c.resolve(); err != nil {
+		return err
+	}
+	c.deadline = c.began.Add(defaultTimeout)
+	for _, limit := range []time.Duration{c.route.Timeout, c.req.Ask.Left} {
+		if limit > 0 && c.began.Add(limit).Before(c.deadline) {
+			c.deadline = c.began.Add(limit)
+		}
+	}
+	if err := c.readBody(); err != nil {
+		return err
+	}
+	c.digest = c.identity().Digest()
+	if c.checkQuarantine(c.began) != nil {
+		return c.quarantineRejection(c.began, pkverdict.NotRun)
+	}
+	ctx, cancel := context.WithDeadline(c.r.Context(), c.deadline)
+	defer cancel()
+	c.budgets.of(c.service).Request(c.began, c.retryTerms())
+	s, found := c.table.Service(c.service)
+	if !found {
+		s = &pkconfig.Service{ID: c.service}
+	}
+	if s.Engine != nil || c.route.Kind == pkconfig.Stream {
+		return c.stream(ctx, s)
+	}
+	return c.plain(ctx)
+}
+
+const (
+	// retryAfterFailure is the time to retry for callers whose targets refused or could not be
+	// reached: failed targets are avoided by then.
+	retryAfterFailure = 500 * time.Millisecond
+	// retryAfterTimeout is the time to retry for callers whose deadline passed before their request
+	// ran.
+	retryAfterTimeout = time.Second
+)
--- a/pkedge/choose.go
+++ b/pkedge/choose.go
@@ -88,7 +88,7 @@
 func (d *Daemon) findPath(now time.Time, s *pkconfig.Service, q pathQuery) (targetPath, bool) {
 	m := s.Engine
 	live := d.liveEngines(now, s.ID, m)
-	entries := d.entries(now)
+	entries := d.entryCount(now)
 	engines := make([]pklayers.Engine, 0, len(live))
 	for _, t := range live {
 		cost, ok := layerCost(now, m, t, q, entries, d.crowding)
@@ -125,15 +125,15 @@
 
 // pathCosts returns the costs of passing between engines at now.
 func (d *Daemon) pathCosts(now time.Time, m *pklayers.Model, q pathQuery) pklayers.Costs {
-	entries := d.entries(now)
+	entries := d.entryCount(now)
 	cache := map[[2]pkid.DataCenter]time.Duration{}
 	out := pklayers.Costs{Hop: hopCost, Most: q.maxCost, Reach: m.Delay, Crossing: func(a, b pkid.DataCenter) time.Duration {
 		pair := [2]pkid.DataCenter{a, b}
 		cost, found := cache[pair]
 		if !found {
 			own := d.pipes.Own(now, a, b)
-			cost = m.Delay(a, b) + m.PipeCost(own+d.sharing.table.Flow(now, entries, a, b, own))
-			unreported := unreportedPromptRate * d.sharing.toldAfter().Seconds()
+			cost = m.Delay(a, b) + m.PipeCost(own+d.gossip.table.Flow(now, entries, a, b, own))
+			unreported := unreportedPromptRate * d.gossip.reportDelay().Seconds()
 			cost += time.Duration(unreported * float64(m.TransferTime(float64(m.PromptTokens))))
 			first := m.TransferTime(q.tokens) + d.pipes.Backlog(now, a, b)*time.Duration(entries)
 			cost += time.Duration(float64(first) / q.amortTokens(m))
--- a/pkedge/choose_test.go
+++ b/pkedge/choose_test.go
@@ -30,9 +30,9 @@
 		s.Engine.Kinds["fast"] = pklayers.Accelerator{MemoryMB: 90000, StepFactor: 8, ReadFactor: 3}
 		far := engine("far", "away", 40, 80)
 		far.Kind = "fast"
-		d.lists(time.Now(), 2, far)
+		d.applyListEntry(time.Now(), 2, far)
 		d.settings.DataCenter = "home"
-		d.sharing.withHubs.Store(row.hubs)
+		d.gossip.withHubs.Store(row.hubs)
 		now := time.Now()
 		full := s.Engine.Room("l4", 40) * 40
 		d.target(t, "b").Begin(now.Add(-time.Minute), row.used*full, 0, time.Millisecond)
@@ -57,7 +57,7 @@
 		s.Engine.EventTokens = row.tokens
 		s.Engine.Kinds["l4"] = pklayers.Accelerator{MemoryMB: 180_000, StepFactor: row.factor, ReadFactor: 1}
 		c := &call{Daemon: d, route: &pkconfig.Route{PauseObjective: pause}}
-		_, found := c.chooseRoute(time.Now(), s)
+		_, found := c.nextPath(time.Now(), s)
 		assert.Equal(t, found, row.want, "%+v", row)
 	}
 }
--- a/pkedge/configuration.go
+++ b/pkedge/configuration.go
@@ -7,51 +7,52 @@
 	"peridotknot.example/pkstore"
 )
 
-// followConfig keeps the newest configuration in force.
+// followConfig follows the operators' configuration and keeps the newest one in force.
 func (d *Daemon) followConfig(ctx context.Context) {
 	d.follow(ctx, follower{
-		name:     askerConfig,
-		prefix:   d.ConfigKey,
-		paceMost: configPaceMost,
-		list: func(items []pkstore.Item, _ pkstore.Revision) {
+		name:          askerConfig,
+		prefix:        d.ConfigKey,
+		maxBatchDelay: maxConfigBatchDelay,
+		onList: func(items []pkstore.Item, _ pkstore.Revision) {
 			for _, one := range items {
-				d.unheard.hear(one.Revision)
+				d.staleWatch.recordDelivered(one.Revision)
 				d.adopt(one, "list")
 			}
 		},
-		change: func(events []pkstore.Event, _ pkstore.Revision) {
+		onChange: func(events []pkstore.Event, _ pkstore.Revision) {
 			for _, ev := range events {
 				if !ev.Deleted {
-					d.unheard.hear(ev.Item.Revision)
+					d.staleWatch.recordDelivered(ev.Item.Revision)
 					d.adopt(ev.Item, "watch")
 				}
 			}
 		},
-		// An entry that is told of the list sees by this watch that the store is away.
-		lost: func() {
-			if d.sharing.table.Led(time.Now()) {
+		// For an entry that has the list of replicas relayed, only this watch shows that the store
+		// is lost.
+		onLost: func() {
+			if d.gossip.table.Led(time.Now()) {
 				d.roster.StoreAway(time.Now())
 			}
 		},
-		back: d.storeBack,
+		onBack: d.onStoreBack,
 	})
 }
 
-// storeBack notes that the list is followed again.
-func (d *Daemon) storeBack() {
+// onStoreBack records that the list of replicas is followed again.
+func (d *Daemon) onStoreBack() {
 	now := time.Now()
-	d.roster.StoreBack(now, func(since time.Time) bool { return d.sharing.table.Followed(now, since) })
+	d.roster.StoreBack(now, func(since time.Time) bool { return d.gossip.table.Followed(now, since) })
 }
 
-// adopt puts a configuration in force unless a newer one is. One that cannot be
-// read is passed over: the one in force serves on.
+// adopt puts a configuration in force unless a newer one is, and reports whether it did. A
+// configuration that cannot be read is ignored, and the one in force is kept.
 func (d *Daemon) adopt(item pkstore.Item, source string) bool {
 	if item.Key != d.ConfigKey {
 		return false
 	}
 	c, err := d.Config(item.Value)
 	if err != nil {
-		d.log.Error("a configuration is passed over", "revision", item.Revision.String(), "source", source, "error", err)
+		d.log.Error("invalid configuration ignored", "revision", item.Revision.String(), "source", source, "error", err)
 		return false
 	}
 	if !d.book.Adopt(c, item) {
--- a/pkedge/configuration_test.go
+++ b/pkedge/configuration_test.go
@@ -14,12 +14,12 @@
 	"peridotknot.example/pkstore"
 )
 
-// versionItem returns a configuration as the store has it, which configDaemon reads.
+// versionItem returns a store item with a configuration in the format of configDaemon.
 func versionItem(v int, at pkstore.Revision) pkstore.Item {
 	return pkstore.Item{Key: "config", Value: fmt.Append(nil, v), Revision: at}
 }
 
-// configDaemon is a daemon whose configurations are a version and nothing else.
+// configDaemon returns a daemon whose configurations consist of a version only.
 func configDaemon() *Daemon {
 	d := &Daemon{log: hclog.NewNullLogger(), configured: make(chan struct{})}
 	d.ConfigKey = "config"
@@ -31,21 +31,21 @@
 	return d
 }
 
-// tells returns the item that the daemon tells an entry without a configuration.
-func (d *Daemon) tells(t *testing.T, now time.Time) pkstore.Item {
+// sentConfig returns the item that the daemon sends to an entry without a configuration.
+func (d *Daemon) sentConfig(t *testing.T, now time.Time) pkstore.Item {
 	t.Helper()
-	d.sharing.table.Hear(now, pkshare.Message{From: "fresh", Run: 1, Sequence: 1})
+	d.gossip.table.Hear(now, pkshare.Message{From: "fresh", Run: 1, Sequence: 1})
 	table := d.book.Table()
 	m := pkshare.Message{Config: table.Item.Revision, Version: table.Version}
-	const patience = 500 * time.Millisecond // an entry is behind for longer before it is helped
-	assert.Assert(t, !d.help(now, &m, "fresh", pkshare.Peer))
-	assert.Assert(t, d.help(now.Add(patience), &m, "fresh", pkshare.Peer))
+	const missingTime = 500 * time.Millisecond // the receiver must lack the configuration for longer
+	assert.Assert(t, !d.addMissing(now, &m, "fresh", pkshare.Peer))
+	assert.Assert(t, d.addMissing(now.Add(missingTime), &m, "fresh", pkshare.Peer))
 	return *m.NewConfig
 }
 
-// Guards against an entry that announces one version and tells another, so that others that lack the
-// newer one never get it from there, and against one that ends when two sources bring its first one.
-func TestTheVersionThatIsToldIsTheOneAnnounced(t *testing.T) {
+// Guards against an entry that announces one version and sends another, and against one that panics
+// when two sources deliver its first configuration at the same time.
+func TestTheAnnouncedVersionIsSent(t *testing.T) {
 	const versions, sources = 200, 4
 	d := configDaemon()
 	var wg sync.WaitGroup
@@ -57,13 +57,14 @@
 		})
 	}
 	wg.Wait()
-	assert.DeepEqual(t, d.tells(t, time.Now()), versionItem(versions, versions))
+	assert.DeepEqual(t, d.sentConfig(t, time.Now()), versionItem(versions, versions))
 }
 
-// Guards against an entry that knows a version's place in a new era and tells that of the era before.
-func TestAVersionIsToldAtItsPlaceInTheNewEra(t *testing.T) {
+// Guards against an entry that sends a version with its revision in the previous era although it
+// knows the one in the new era.
+func TestVersionIsSentWithItsRevisionInTheNewEra(t *testing.T) {
 	d := configDaemon()
 	d.adopt(versionItem(3, pkstore.NewRevision(1, 9)), "test")
 	d.adopt(versionItem(3, pkstore.NewRevision(2, 5)), "test")
-	assert.Equal(t, d.tells(t, time.Now()).Revision, pkstore.NewRevision(2, 5))
+	assert.Equal(t, d.sentConfig(t, time.Now()).Revision, pkstore.NewRevision(2, 5))
 }
--- a/pkedge/daemon.go
+++ b/pkedge/daemon.go
@@ -28,34 +28,34 @@
 	"peridotknot.example/pkwait"
 )
 
-// Ports is what a daemon needs of its platform.
+// Ports are the platform's protocols and names that a daemon uses.
 type Ports struct {
 	Store pkstore.Store
 	Feed  pkstore.Feed
-	// ConfigKey holds the operators' configuration, ReplicaPrefix the entries of
-	// replicas, OwnPrefix the daemons' own keys.
+	// ConfigKey is the key of the operators' configuration, ReplicaPrefix the prefix of the list of
+	// replicas, OwnPrefix the prefix of the daemons' own keys.
 	ConfigKey     string
 	ReplicaPrefix string
 	OwnPrefix     string
-	// Config reads the operators' configuration.
+	// Config decodes the operators' configuration.
 	Config func(raw []byte) (pkconfig.Config, error)
-	// Replica reads a replica's entry; the record stands also where an error says why the entry
-	// names no replica.
+	// Replica decodes an entry of the list of replicas. The record is valid also with an error,
+	// which says why the entry names no replica.
 	Replica func(pkstore.Item) (pkreplica.Record, error)
 	// ReplicaID returns the replica that a key belongs to.
 	ReplicaID func(key string) pkid.TargetID
 	Dialect   pkforward.Dialect
 	Sender    *pkforward.Sender
 	Engines   pkowner.Engines
-	// Conns knows the connections to targets.
+	// Conns tracks the connections to targets.
 	Conns *pkconn.Registry
 }
 
-// Daemon is one running entry.
+// Daemon is an entry of the fleet.
 type Daemon struct {
 	Ports
 	settings Settings
-	// retry and seeds are what a changed settings file takes effect on.
+	// retry and seeds are the settings that can change while the daemon runs.
 	retry   atomic.Pointer[Retry]
 	seeds   atomic.Pointer[[]string]
 	log     hclog.Logger
@@ -65,15 +65,15 @@
 	roster pkreplica.Roster
 	paces  pkpace.Table
 	pipes  pklayers.Pipes
-	// crowding is how soon requests turn to slower engines.
+	// crowding is how the cost of an engine grows as its memory fills.
 	crowding pklayers.Crowding
 	members  members
 	store    breaker
-	// watches are those under way at the store.
-	watches pkwait.Group
-	unheard unheard
-	era     eraClock
-	calls   calls
+	// watches are the watches of the store in progress.
+	watches    pkwait.Group
+	staleWatch staleWatchDetector
+	era        eraTracker
+	storeCalls storeCallCounts
 	// pendingOrders are the orders in progress by pool; only reconcilePools uses them.
 	pendingOrders map[pkid.ServiceID]*pkowner.Desk
 	// ownerlessSince is since when no owner is known; only reconcilePools uses it.
@@ -82,14 +82,12 @@
 	// it.
 	nextAcquire time.Time
 	budgets     budgets
-	sharing     sharing
+	gossip      gossip
 	streams     attemptSet
 	// refusedEngines are engines to check for liveness and draining.
 	refusedEngines chan refusedEngine
-	// quarantine is which requests are kept from replicas.
-	quarantine quarantine
+	quarantine     quarantine
 
-	// started is when the daemon began to run.
 	started time.Time
 
 	callers net.Listener
@@ -101,11 +99,11 @@
 	listed      atomic.Bool
 	stopping    atomic.Bool
 	active      atomic.Int64
-	// shortAt is when it was last logged what a pool lacks, in Unix nanoseconds.
-	shortAt atomic.Int64
+	// lastShortageLog is when a lack of capacity was last logged, in Unix nanoseconds.
+	lastShortageLog atomic.Int64
 }
 
-// New returns a daemon that listens already and serves once Run is called.
+// New returns a daemon whose listeners are open. Requests are served once Run is called.
 func New(s Settings, p Ports, log hclog.Logger) (*Daemon, error) {
 	d := &Daemon{Ports: p, settings: s, log: log, configured: make(chan struct{}), crowding: pklayers.FreeCrowding}
 	d.retry.Store(&s.Retry)
@@ -120,55 +118,55 @@
 	if d.ready, err = net.Listen("tcp", s.Listen.Ready); err != nil {
 		return nil, errors.Join(fmt.Errorf("listen for readiness: %w", err), d.callers.Close())
 	}
-	if err := d.sharing.open(s.Listen); err != nil {
+	if err := d.gossip.open(s.Listen); err != nil {
 		return nil, errors.Join(err, d.callers.Close(), d.ready.Close())
 	}
 	return d, nil
 }
 
-// Reload takes changed settings over while requests go on. Addresses and names are
-// those of the start; a change of one is logged and waits for the next start.
+// Reload applies changed settings to a running daemon. Only Retry and Seeds take effect at once;
+// other changes are logged and need a restart.
 func (d *Daemon) Reload(s Settings) {
 	d.retry.Store(&s.Retry)
 	d.seeds.Store(&s.Seeds)
 	started := d.settings
 	started.Retry, started.Seeds = s.Retry, s.Seeds
 	if !reflect.DeepEqual(started, s) {
-		d.log.Warn("some changed settings take effect at the next start only")
+		d.log.Warn("some changed settings take effect only after a restart")
 	}
 	d.log.Info("settings reloaded", "retry_ratio", s.Retry.Ratio, "retry_slack", s.Retry.Slack, "seeds", len(s.Seeds))
 }
 
-// Callers returns the address that callers reach.
+// Callers returns the listen address for callers.
 func (d *Daemon) Callers() string { return d.callers.Addr().String() }
 
-// Ready returns the address of readiness and metrics.
+// Ready returns the listen address for readiness and metrics.
 func (d *Daemon) Ready() string { return d.ready.Addr().String() }
 
-// Run serves until ctx ends, then stops gracefully and returns once everything
-// that it started has ended.
+// Run serves until ctx ends, stops gracefully, and returns once all its goroutines have ended.
 func (d *Daemon) Run(ctx context.Context) error {
 	d.started = time.Now()
 	// The loops outlive ctx: requests in progress need them until the end.
 	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	front := newFront(d)
+	server := newCallerServer(d)
 	readiness := &http.Server{Handler: d.readinessHandler(), ReadHeaderTimeout: readinessTimeout}
 	var g run.Group
-	g.Add(func() error { return d.waitAndStop(ctx, front) }, func(error) { cancel() })
-	g.Add(func() error { return front.run(inner) }, func(error) { front.close() })
+	g.Add(func() error { return d.waitAndStop(ctx, server) }, func(error) { cancel() })
+	g.Add(func() error { return server.run(inner) }, func(error) { server.close() })
 	g.Add(func() error { return untilDone(inner, readiness.Serve(d.ready)) }, func(error) { _ = readiness.Close() })
-	if d.sharing.listener != nil {
+	if d.gossip.listener != nil {
 		peers := &http.Server{Handler: d.peersHandler(inner), ReadHeaderTimeout: readinessTimeout}
-		g.Add(func() error { return untilDone(inner, peers.Serve(d.sharing.listener)) }, func(error) { _ = peers.Close() })
+		g.Add(func() error { return untilDone(inner, peers.Serve(d.gossip.listener)) }, func(error) { _ = peers.Close() })
 	}
-	for _, loop := range []func(context.Context){d.followConfig, d.followReplicas, d.followMembers, d.peekConfig, d.keepLease, d.reconcilePools, d.tellPeers, d.takeLoads, d.rerouteStreams, d.watchEngines, d.pollPaces, d.logCalls, d.detectCrashes, d.saveQuarantined, d.checkRefusedEngines} {
+	for _, loop := range []func(context.Context){d.followConfig, d.followReplicas, d.followMembers, d.pollConfig, d.maintainLease, d.reconcilePools, d.sendToPeers, d.updateLoads, d.rerouteStreams, d.watchEngines, d.pollPaces, d.logStoreCalls, d.detectCrashes, d.saveQuarantined, d.checkRefusedEngines} {
 		g.Add(func() error { loop(inner); return nil }, func(error) { cancel() })
 	}
 	return g.Run()
 }
 
-// untilDone keeps a closed server from ending the group before the stop is done.
+// untilDone keeps a server closed by the stop from ending the run group before the stop is
+// complete.
 func untilDone(ctx context.Context, err error) error {
 	if !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -178,32 +176,31 @@
 }
 
 const (
-	// readinessTimeout bounds a question for readiness.
+	// readinessTimeout bounds reading the headers of requests from the platform and from peers.
 	readinessTimeout = 2 * time.Second
-	// stopListen is how long a stopping daemon goes on taking what the balancer
-	// sends: two missed questions a second apart, and one second more.
-	stopListen = 3 * time.Second
-	// stopMargin is kept of the grace, so that the process ends by itself.
+	// drainListenTime is how long a stopping daemon keeps accepting connections: the load balancer
+	// removes it after two failed readiness checks a second apart.
+	drainListenTime = 3 * time.Second
+	// stopMargin is the part of the grace period left for the process to exit by itself.
 	stopMargin = 700 * time.Millisecond
 )
 
-// waitAndStop waits for the end of ctx and stops gracefully. The daemon is not
-// ready at once but serves on: the balancer goes on sending for some seconds, and
-// callers use their open connections until they are told to close them. Then it
-// closes connections as they become idle: one that stayed open through a long
-// stream would bring requests that cannot end within the grace.
-func (d *Daemon) waitAndStop(ctx context.Context, f *front) error {
+// waitAndStop waits for the end of ctx and stops gracefully. The daemon reports that it is not
+// ready but accepts requests for drainListenTime, since the load balancer keeps sending them. Then
+// it closes the listener and idle connections, and waits for requests in progress until the grace
+// period ends.
+func (d *Daemon) waitAndStop(ctx context.Context, s *callerServer) error {
 	<-ctx.Done()
 	began := time.Now()
 	d.stopping.Store(true)
 	grace := max(seconds(d.settings.Stop.GraceS)-stopMargin, 0)
 	d.log.Info("stopping", "grace_s", d.settings.Stop.GraceS, "active", d.active.Load())
 	ctx = context.WithoutCancel(ctx)
-	d.leave(ctx)
-	pktimer.Sleep(ctx, min(stopListen, grace)-time.Since(began))
+	d.revokeLease(ctx)
+	pktimer.Sleep(ctx, min(drainListenTime, grace)-time.Since(began))
 	within, cancel := context.WithTimeout(ctx, grace-time.Since(began))
 	defer cancel()
-	err := f.shutdown(within)
+	err := s.shutdown(within)
 	d.log.Info("stopped", "active", d.active.Load(), "after", time.Since(began).String())
 	if errors.Is(err, context.DeadlineExceeded) {
 		return nil
@@ -222,7 +219,7 @@
 	return mux
 }
 
-// isReady says whether new callers should be sent here.
+// isReady reports whether new callers should be sent to this daemon.
 func (d *Daemon) isReady() bool {
 	return d.book.Table() != nil && d.listed.Load() && !d.stopping.Load()
 }
--- a/pkedge/entries_test.go
+++ b/pkedge/entries_test.go
@@ -11,14 +11,14 @@
 	"peridotknot.example/platform/platformtest"
 )
 
-// An engine in use crashes and starts again at once under its id, with nothing loaded, while
-// streams pass through it. Their callers must get them whole, the engine must be given layers
-// again, and a write of its old process that comes late must not bring its old entry back.
-func TestAnEngineThatStartsAgainServesAgain(t *testing.T) {
+// Guards against incomplete streams when an engine crashes and restarts empty under the same id,
+// and against a late write of the old process that brings its old list entry back. The engine must
+// be given layers again.
+func TestARestartedEngineServesAgain(t *testing.T) {
 	t.Parallel()
-	w, engines := pool(t)
+	w, engines := newPool(t)
 	n := start(t, w, "one")
-	n.streams(t)
+	n.waitForStream(t)
 	const streams, length = 12, 120
 	answers, first := n.startStreams(t, w, streams, length)
 	var again *platformtest.Replica
@@ -28,7 +28,7 @@
 		}
 	}
 	late := again.Restart()
-	allWhole(t, answers, streams, length)
+	assertComplete(t, answers, streams, length)
 	eventually(t, "layers again", func() bool {
 		_, end := again.Held()
 		return end > 0
@@ -39,15 +39,15 @@
 		assert.NilError(t, got.err)
 		assert.Equal(t, got.body, events(3))
 	}
-	assert.Equal(t, n.metric(t, `peridotknot_sends_failed_total{reason="refused",verdict="not_run"}`), "", "nothing went by the late entry")
+	assert.Equal(t, n.metric(t, `peridotknot_sends_failed_total{reason="refused",verdict="not_run"}`), "", "the late entry is not used")
 }
 
-// Another writer puts entries into the list: one takes the place of a sound replica's, others
-// name replicas that are none. Callers must be served by those that are left, nothing may
-// connect to what is named, and a sound entry counts again.
-func TestEntriesThatNameNoReplicaAreNotUsed(t *testing.T) {
+// Guards against requests to addresses in invalid list entries, one of which replaces the entry of
+// a valid replica. Callers must be served by the other replicas, and the replaced one must be used
+// again once its entry is valid.
+func TestInvalidReplicaEntriesAreNotUsed(t *testing.T) {
 	t.Parallel()
-	w, _ := pool(t)
+	w, _ := newPool(t)
 	a, b := w.Add(platformtest.App, "i-a", "a"), w.Add(platformtest.App, "i-b", "a")
 	trap, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -59,7 +59,7 @@
 			if err != nil {
 				return
 			}
-			_ = c.Close() // whoever connects is wrong
+			_ = c.Close() // no connection is expected
 			connected <- struct{}{}
 		}
 	}()
@@ -74,7 +74,7 @@
 		return out
 	}
 	n := start(t, w, "one")
-	n.streams(t)
+	n.waitForStream(t)
 	w.Foreign("f-1", entry("unheard of", nil))
 	w.Foreign("f-2", entry(platformtest.App, map[string]any{"state": "warm"}))
 	w.Foreign("f-3", entry(platformtest.Pool, map[string]any{"layers": map[string]any{"from": 0, "target": platformtest.Layers + 1}}))
@@ -95,7 +95,7 @@
 	a.Touch()
 	b.Leave()
 	i := 0
-	eventually(t, "the sound entry", func() bool {
+	eventually(t, "the valid entry", func() bool {
 		i++
 		id := fmt.Sprintf("again-%d", i)
 		n.do(t, http.MethodPost, "/book/1", id, platformtest.Key, 0)
--- a/pkedge/era.go
+++ b/pkedge/era.go
@@ -8,20 +8,21 @@
 	"peridotknot.example/pkstore"
 )
 
-// eraClock is which era of the store is known, and since when.
-type eraClock struct {
+// eraTracker tracks the newest known era of the store. A new era begins when the store returns from
+// an older copy.
+type eraTracker struct {
 	mu     sync.Mutex
 	known  bool
 	newest pkstore.Era
-	// since is when the newest era was first heard of after another one, owned whether this
-	// daemon owned the pools until then.
+	// since is when the newest era became known, zero for the first one. owned is set if this
+	// daemon owned the pools in the era before.
 	since time.Time
 	owned bool
 }
 
-// enter notes at now an era and says whether it comes after another one that was known, in which
-// this daemon may have owned the pools.
-func (e *eraClock) enter(now time.Time, era pkstore.Era, owned bool) (before pkstore.Era, later bool) {
+// observe records an era at now, and reports whether it is later than the one known before. The
+// argument owned tells whether this daemon owns the pools.
+func (e *eraTracker) observe(now time.Time, era pkstore.Era, owned bool) (before pkstore.Era, later bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	before, later = e.newest, e.known && era > e.newest
@@ -32,26 +33,27 @@
 	return before, later
 }
 
-// settled says whether at now this daemon may take the pools over as far as the store's era is
-// concerned. An owner of the era before may act until it learns of the new one, or until its
-// lease would have ended: two owners would order engines by turns. It goes on itself at once.
-func (e *eraClock) settled(now time.Time) bool {
+// mayTakeOver reports whether the era allows this daemon to become the owner of the pools at now.
+// The owner of the previous era may act until it learns of the new one or its lease would have
+// expired. Other daemons wait for that, so that there are never two owners; the owner itself need
+// not.
+func (e *eraTracker) mayTakeOver(now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.since.IsZero() || e.owned || now.Sub(e.since) >= leaseTTL
 }
 
-// noteEra takes the era of what the store, or a peer, said at now. Where the store has come back
-// from an older copy, this daemon's lease is lost with all that was written under it, although
-// nothing says so until it is renewed; and requests that are held must be saved again.
-func (d *Daemon) noteEra(now time.Time, rev pkstore.Revision, source string) {
+// recordEra records the era of a revision received at now from the store or a peer. When the store
+// has returned from an older copy, this daemon's lease is lost with all keys written under it, and
+// quarantined requests must be saved again.
+func (d *Daemon) recordEra(now time.Time, rev pkstore.Revision, source string) {
 	if rev == 0 {
 		return
 	}
 	m := &d.members
 	m.mu.Lock()
 	owned := m.owner == d.settings.Entry
-	before, later := d.era.enter(now, rev.Era(), owned)
+	before, later := d.era.observe(now, rev.Era(), owned)
 	if later {
 		m.owner, m.ownerRevision, m.ownRevision = "", 0, 0
 		m.lease.Lost()
@@ -61,16 +63,16 @@
 		return
 	}
 	saves := 0
-	if d.sharing.first.Load() {
-		saves = d.quarantine.saveAgain(now)
+	if d.gossip.first.Load() {
+		saves = d.quarantine.resaveAll(now)
 	}
-	d.metrics.eras.Inc()
+	d.metrics.storeReturns.Inc()
 	d.log.Warn("the store came back from an older copy", "era", rev.Era(), "before", before, "source", source,
 		"owned", owned, "held_requests_to_save", saves)
 }
 
-// saveAgain has all requests that are held at now written to the store again, and returns how many.
-func (q *quarantine) saveAgain(now time.Time) int {
+// resaveAll marks all quarantined requests at now to be saved again, and returns their number.
+func (q *quarantine) resaveAll(now time.Time) int {
 	held := q.table.Held(now)
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/pkedge/era_bench_test.go
+++ b/pkedge/era_bench_test.go
@@ -11,11 +11,11 @@
 	"peridotknot.example/platform/platformtest"
 )
 
-// benchEntries is how many entries a data centre of the benchmark's fleets has.
+// benchEntries is the number of entries per data centre in the benchmark.
 const benchEntries = 65
 
-// BenchmarkReturnOfTheStore times how long a fleet takes to know a new era and to be among the members
-// again, and counts the calls to the store in the busiest tenth of a second of that.
+// BenchmarkReturnOfTheStore measures how long a fleet takes to know a new era and to be registered
+// again, and reports the calls to the store, in total and in the busiest tenth of a second.
 func BenchmarkReturnOfTheStore(b *testing.B) {
 	for _, entries := range []int{8, 67, 195} {
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
--- a/pkedge/era_test.go
+++ b/pkedge/era_test.go
@@ -21,15 +21,13 @@
 	return out
 }
 
-// A key is taken away and an engine begins to leave. Then the store comes back from a copy of
-// before, in which the key is good and the engine ready, and with all leases lost. Callers with
-// the key would be served again, streams would go to the engine and be cut with it, and nobody
-// would own the pool. The operators and the replicas write again what is so; until then and after
-// it, every entry goes by what it knew.
-func TestTheStoreComesBackFromAnOlderCopy(t *testing.T) {
+// Guards against using stale data when the store returns from an older copy, in which a revoked key
+// is valid, a draining engine is ready and all leases are lost. The entries must keep the newer
+// state that they know until it is written again, and become members and owner again.
+func TestStoreReturnsFromAnOlderCopy(t *testing.T) {
 	t.Parallel()
 	const revoked, good = platformtest.Key, "key-2"
-	w, engines := pool(t)
+	w, engines := newPool(t)
 	w.Store.BeginEras()
 	w.Configure(func(config map[string]any) {
 		config["tenants"] = []any{map[string]any{"name": platformtest.Account, "api_keys": []string{revoked, good}}}
@@ -39,7 +37,7 @@
 		nodes = append(nodes, start(t, w, fmt.Sprintf("n-%d", i)))
 	}
 	for _, n := range nodes {
-		n.streams(t)
+		n.waitForStream(t)
 	}
 	from := w.Store.Copy()
 	w.Configure(func(config map[string]any) {
@@ -51,7 +49,7 @@
 	at := w.Store.Revision(platform.ReplicaPrefix)
 	for _, n := range nodes {
 		eventually(t, "the new version", func() bool { return n.metric(t, "peridotknot_config_version") == "6" })
-		eventually(t, "word of the leaving engine", func() bool { return n.known(t, at) })
+		eventually(t, "the draining engine", func() bool { return n.knowsRevision(t, at) })
 	}
 
 	asked := 0
@@ -78,21 +76,20 @@
 		one.Beat()
 	}
 	check()
-	eventually(t, "all entries among the members", func() bool { return len(w.Store.Keys(platform.OwnPrefix+"entry/")) == len(nodes) })
+	eventually(t, "all entries as members", func() bool { return len(w.Store.Keys(platform.OwnPrefix+"entry/")) == len(nodes) })
 	fresh := w.Add(platformtest.Pool, "i-new", "a")
-	eventually(t, "an order of an owner", func() bool { _, end := fresh.Held(); return end > 0 })
+	eventually(t, "layers ordered by the owner", func() bool { _, end := fresh.Held(); return end > 0 })
 	check()
 	for _, n := range nodes {
 		assert.Equal(t, n.metric(t, "peridotknot_config_version"), "6")
 	}
 }
 
-// An entry starts while the store has an older version than the other entries know, since it came
-// back from a copy and the operators have not written yet. A key that was taken away before would
-// be good there for as long as that takes. The others tell it.
-func TestAnEntryThatStartsInANewEraIsToldTheNewestVersion(t *testing.T) {
+// Guards against a new entry that puts an older configuration in force after the store has returned
+// from an older copy: its peers must send it the newest one.
+func TestANewEntryLearnsTheNewestConfigurationInANewEra(t *testing.T) {
 	t.Parallel()
-	w, _ := pool(t)
+	w, _ := newPool(t)
 	w.Store.BeginEras()
 	old := start(t, w, "n-old")
 	eventually(t, "readiness", func() bool { return old.isReady(t) })
@@ -106,29 +103,28 @@
 	assert.Equal(t, old.metric(t, "peridotknot_config_version"), "4")
 }
 
-// The store is back from a copy and the owner of the pools learns it last: cut off from the store,
-// it may order engines until its lease would have ended. Another that took the pools over at once
-// would order the same engines by another plan.
-func TestAnotherOwnerWaitsForTheLeaseOfTheEraBefore(t *testing.T) {
+// Guards against two owners that order the same engines by different plans: after the store has
+// returned from an older copy, the previous owner may act until its lease would have expired.
+func TestNewOwnerWaitsForTheLeaseOfThePreviousEra(t *testing.T) {
 	t.Parallel()
-	w, _ := pool(t)
+	w, _ := newPool(t)
 	w.Store.BeginEras()
 	l := link(t, w)
 	owner := startAt(t, l.Addr(), "n-owner")
-	owner.streams(t)
+	owner.waitForStream(t)
 	assert.Equal(t, len(w.Store.Keys(platform.OwnPrefix+"owner")), 1)
 	other := start(t, w, "n-other")
 	eventually(t, "readiness", func() bool { return other.isReady(t) })
 	w.Store.Return(w.Store.Copy())
-	eventually(t, "the new era at the other", func() bool { return other.metric(t, "peridotknot_store_era") == "2" })
+	eventually(t, "the new era at the other entry", func() bool { return other.metric(t, "peridotknot_store_era") == "2" })
 	eventually(t, "the owner again", func() bool {
 		return string(w.Store.Value(platform.OwnPrefix+"owner")) == string(pkid.EntryID("n-owner"))
 	})
 }
 
-// Guards against a key that is refused long after its version was acknowledged, since the watch of
-// an ended era is never answered, while renewals tell of the new one.
-func TestAVersionIsInForceThoughTheWatchOfAnEndedEraIsNotAnswered(t *testing.T) {
+// Guards against a configuration that is not put in force since the watch of the previous era is
+// never answered, while lease renewals show the new one.
+func TestConfigurationIsInForceIfTheWatchOfThePreviousEraIsNotAnswered(t *testing.T) {
 	t.Parallel()
 	w := platformtest.NewWorld()
 	defer w.Close()
@@ -142,6 +138,6 @@
 	w.Store.ReturnInSilence(w.Store.Copy())
 	key := addKey(w, "key-2")
 	for _, n := range nodes {
-		n.serves(t, key)
+		n.waitForKey(t, key)
 	}
 }
--- a/pkedge/follow_test.go
+++ b/pkedge/follow_test.go
@@ -11,8 +11,8 @@
 	"peridotknot.example/platform/platformtest"
 )
 
-// served starts a world with a plain replica and an entry that serves it.
-func served(t *testing.T) (*platformtest.World, *node) {
+// startServing starts a world with one plain replica and an entry that is ready.
+func startServing(t *testing.T) (*platformtest.World, *node) {
 	t.Helper()
 	w := platformtest.NewWorld()
 	t.Cleanup(w.Close)
@@ -22,11 +22,10 @@
 	return w, n
 }
 
-// The operator takes a key away and adds a route. Both must hold at once, and an
-// older configuration must not come back by another entry.
+// Guards against a revoked key that is still accepted after a change of the configuration.
 func TestConfigurationIsFollowed(t *testing.T) {
 	t.Parallel()
-	w, n := served(t)
+	w, n := startServing(t)
 	assert.Equal(t, n.do(t, http.MethodGet, "/read/1", "1", platformtest.Key, 0).status, http.StatusOK)
 	assert.Equal(t, n.do(t, http.MethodGet, "/read/1", "2", "wrong", 0).status, http.StatusUnauthorized)
 	assert.Equal(t, n.do(t, http.MethodGet, "/none/1", "3", platformtest.Key, 0).status, http.StatusNotFound)
@@ -39,11 +38,11 @@
 	assert.Equal(t, n.do(t, http.MethodGet, "/read/1", "5", "key-2", 0).status, http.StatusOK)
 }
 
-// The store loses its history while watches hear nothing, and a replica leaves in
-// the gap. A watch that simply took up again would never hear of it.
-func TestWhatWasWrittenBesideAWatchIsSeen(t *testing.T) {
+// Guards against missing a write when a watch is interrupted and the store has compacted its
+// history meanwhile.
+func TestWritesDuringAnInterruptedWatchAreSeen(t *testing.T) {
 	t.Parallel()
-	w, n := served(t)
+	w, n := startServing(t)
 	w.Store.Deafen()
 	w.Configure(func(c map[string]any) {
 		c["tenants"] = []any{map[string]any{"name": platformtest.Account, "api_keys": []string{"key-2"}}}
@@ -54,9 +53,9 @@
 	})
 }
 
-// The store serves one entry and turns another away. A key is revoked meanwhile.
-// The entry that is turned away must hear of it from the other.
-func TestAnEntryThatTheStoreTurnsAwayIsTold(t *testing.T) {
+// Guards against an entry without access to the store that accepts a revoked key: it must learn of
+// the revocation from its peers.
+func TestAnEntryWithoutTheStoreIsToldByPeers(t *testing.T) {
 	t.Parallel()
 	w := platformtest.NewWorld()
 	defer w.Close()
@@ -65,9 +64,9 @@
 	one := start(t, w, "one")
 	two := startAt(t, l.Addr(), "two")
 	eventually(t, "readiness", func() bool { return one.isReady(t) && two.isReady(t) })
-	// An entry is ready before it has met the others; one that the store turns away
-	// before that, and that has no seeds, can be told by nobody.
-	eventually(t, "a meeting", func() bool {
+	// An entry may be ready before it knows its peers, and without seeds it needs the store for
+	// that.
+	eventually(t, "the other entry", func() bool {
 		return one.metric(t, "peridotknot_peers") == "1" && two.metric(t, "peridotknot_peers") == "1"
 	})
 	l.Close()
@@ -79,7 +78,7 @@
 	})
 }
 
-// addKey writes a version with one more key and returns the key.
+// addKey writes a configuration with an additional key and returns the key.
 func addKey(w *platformtest.World, key string) string {
 	w.Configure(func(c map[string]any) {
 		c["tenants"] = []any{map[string]any{"name": platformtest.Account, "api_keys": []string{platformtest.Key, key}}}
@@ -87,19 +86,19 @@
 	return key
 }
 
-// serves waits until an entry serves calls with a key.
-func (n *node) serves(t *testing.T, key string) {
+// waitForKey waits until an entry accepts a key.
+func (n *node) waitForKey(t *testing.T, key string) {
 	t.Helper()
 	calls := 0
-	eventually(t, "the key's version", func() bool {
+	eventually(t, "the configuration with the key", func() bool {
 		calls++
 		return n.do(t, http.MethodGet, "/read/1", fmt.Sprintf("%s-%d", key, calls), key, 0).status == http.StatusOK
 	})
 }
 
-// Guards against a key that is refused long after its version was acknowledged, since the watch waits
-// on a connection that has fallen silent, while renewals succeed over new ones.
-func TestAVersionIsInForceAfterConnectionsFellSilent(t *testing.T) {
+// Guards against a configuration that is not put in force since the watch waits on a connection
+// that has fallen silent, while lease renewals succeed over new ones.
+func TestConfigurationIsInForceAfterConnectionsFellSilent(t *testing.T) {
 	t.Parallel()
 	w := platformtest.NewWorld()
 	defer w.Close()
@@ -108,19 +107,19 @@
 	n := startAt(t, l.Addr(), "one")
 	eventually(t, "readiness", func() bool { return n.isReady(t) })
 	l.Silence()
-	n.serves(t, addKey(w, "key-2"))
+	n.waitForKey(t, addKey(w, "key-2"))
 }
 
-// Guards against a key that is refused long after its version was acknowledged, since watches are never
-// answered though the store serves all else.
-func TestWatchesThatAreNotAnsweredAreBegunAgain(t *testing.T) {
+// Guards against a configuration that is not put in force since the store never answers watches,
+// though it answers other calls.
+func TestUnansweredWatchesAreRestarted(t *testing.T) {
 	t.Parallel()
-	w, n := served(t)
+	w, n := startServing(t)
 	eventually(t, "watches", func() bool {
 		return w.Store.Watches(platform.ConfigKey) == 1 && w.Store.Watches(platform.ReplicaPrefix) == 1
 	})
 	w.Store.HoldWatches()
 	w.Add(platformtest.App, "i-b", "a")
-	n.serves(t, addKey(w, "key-2"))
-	eventually(t, "the new replica", func() bool { return n.known(t, w.Store.Revision(platform.ReplicaPrefix)) })
+	n.waitForKey(t, addKey(w, "key-2"))
+	eventually(t, "the new replica", func() bool { return n.knowsRevision(t, w.Store.Revision(platform.ReplicaPrefix)) })
 }
--- a/pkedge/share.go
+++ b/pkedge/gossip.go
@@ -21,41 +21,41 @@
 )
 
 const (
-	// linksEvery is after how many messages the list of entries to tell is brought
-	// up to date: twice a second.
-	linksEvery = 3
-	// sumsEvery is after how many messages' time hubs are told and tell.
-	sumsEvery = int(pkshare.EveryWithHubs / pkshare.Every)
-	// storeBackTold is for how long the others are told that the store has returned:
-	// longer than entries that lapsed meanwhile take to be back.
-	storeBackTold = 5 * time.Second
-	// tellGather is how long news of a dead engine waits for more: those that die together
-	// are found within a few milliseconds of one another.
-	tellGather = 5 * time.Millisecond
-	// loadsEvery is how often the loads of other entries are added up, twice as often as they are
-	// told; loadsEveryHubs is the same where hubs tell them.
-	loadsEvery     = pkshare.Every / 2
-	loadsEveryHubs = pkshare.EveryWithHubs / 2
+	// roundsPerLinkUpdate is the number of rounds after which the links to peers are updated.
+	roundsPerLinkUpdate = 3
+	// roundsPerSum is the number of rounds after which a message is due in fleets with hubs.
+	roundsPerSum = int(pkshare.EveryWithHubs / pkshare.Every)
+	// storeReturnAnnounceTime is how long peers are told that the store has returned. It is longer
+	// than list entries that expired meanwhile take to be written again.
+	storeReturnAnnounceTime = 5 * time.Second
+	// sendBatchDelay is the delay before a message that is sent at once. Engines that die together
+	// are found within a few milliseconds of one another, and are reported in one message.
+	sendBatchDelay = 5 * time.Millisecond
+	// loadSumInterval is how often the loads of the other entries are summed, twice as often as
+	// they are reported; loadSumIntervalWithHubs is the same if hubs report them.
+	loadSumInterval         = pkshare.Every / 2
+	loadSumIntervalWithHubs = pkshare.EveryWithHubs / 2
 )
 
-// sharing is how a daemon tells the others and hears them.
-type sharing struct {
+// gossip is the exchange of state with the other entries.
+type gossip struct {
 	table    pkshare.Table
 	net      *pkpeer.Net[pkshare.Message]
 	listener net.Listener
-	// addr is where this entry takes messages; empty where it keeps to itself.
+	// addr is the address that this entry receives messages at, empty if it has no peers.
 	addr string
-	run  uint64
+	// run identifies this start of the entry.
+	run uint64
 
-	// links belong to the loop that tells peers.
+	// links are the connections to peers by address; only sendToPeers uses them.
 	links map[string]*link
-	// withHubs says that there are so many entries that they have hubs.
+	// withHubs is set if the fleet is large enough for hubs, which relay messages.
 	withHubs atomic.Bool
-	// first says that this entry is among the first of its data centre.
+	// first is set if this entry is among the first of its data centre.
 	first atomic.Bool
 
-	// urgent asks for a message before the next is due.
-	urgent chan struct{}
+	// sendNow triggers a message before the next one is due.
+	sendNow chan struct{}
 
 	mu       sync.Mutex
 	sequence uint64
@@ -63,12 +63,12 @@
 	wg       sync.WaitGroup
 }
 
-func (s *sharing) open(listen Listen) error {
+func (s *gossip) open(listen Listen) error {
 	s.net = pkpeer.NewNet[pkshare.Message](pkpeer.Identity{}, pkconn.DefaultOptions())
 	s.run = rand.Uint64()
 	s.links = map[string]*link{}
 	s.suspects = map[pkid.TargetID]suspicion{}
-	s.urgent = make(chan struct{}, 1)
+	s.sendNow = make(chan struct{}, 1)
 	if listen.Peers == "" {
 		return nil
 	}
@@ -80,13 +80,13 @@
 	return nil
 }
 
-// peersHandler takes messages of other entries.
+// peersHandler receives messages of other entries.
 func (d *Daemon) peersHandler(ctx context.Context) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+pkpeer.Path, func(w http.ResponseWriter, r *http.Request) {
-		c, err := d.sharing.net.Accept(w, r)
+		c, err := d.gossip.net.Accept(w, r)
 		if err != nil {
-			d.log.Warn("a peer was not let in", "error", err)
+			d.log.Warn("peer connection not accepted", "error", err)
 			return
 		}
 		defer func() { _ = c.Close() }() // a closed connection has nothing left to lose
@@ -95,18 +95,18 @@
 			if err != nil {
 				return
 			}
-			d.hear(time.Now(), m)
+			d.receiveMessage(time.Now(), m)
 		}
 	})
 	return mux
 }
 
-// hear takes what another entry says.
-func (d *Daemon) hear(now time.Time, m pkshare.Message) {
-	if m.From == d.settings.Entry || !d.sharing.table.Hear(now, m) {
+// receiveMessage merges a message of another entry.
+func (d *Daemon) receiveMessage(now time.Time, m pkshare.Message) {
+	if m.From == d.settings.Entry || !d.gossip.table.Hear(now, m) {
 		return
 	}
-	d.noteEra(now, max(m.Config, m.List), "peer "+string(m.From))
+	d.recordEra(now, max(m.Config, m.List), "peer "+string(m.From))
 	if m.NewConfig != nil {
 		d.adopt(*m.NewConfig, "peer "+string(m.From))
 	}
@@ -123,73 +123,72 @@
 	d.mergeCases(now, m.Cases, "peer "+string(m.From))
 }
 
-// takeLoads keeps with each target what the other entries hold of it.
-func (d *Daemon) takeLoads(ctx context.Context) {
-	for pause := loadsEvery; pktimer.Sleep(ctx, pause); {
-		pause = loadsEvery
-		if d.sharing.withHubs.Load() {
-			pause = loadsEveryHubs
+// updateLoads keeps the load by other entries of each target up to date.
+func (d *Daemon) updateLoads(ctx context.Context) {
+	for pause := loadSumInterval; pktimer.Sleep(ctx, pause); {
+		pause = loadSumInterval
+		if d.gossip.withHubs.Load() {
+			pause = loadSumIntervalWithHubs
 		}
-		d.addLoads(time.Now())
+		d.sumLoads(time.Now())
 	}
 }
 
-// addLoads adds up at now what the other entries hold of each target.
-func (d *Daemon) addLoads(now time.Time) {
+// sumLoads sums the load by other entries of each target at now.
+func (d *Daemon) sumLoads(now time.Time) {
 	all := d.roster.All()
 	own := make(map[pkid.TargetID]pkreplica.Load, len(all))
 	for _, t := range all {
 		own[t.ID] = t.Own()
 	}
-	loads := d.sharing.table.Others(now, d.entries(now), own)
+	loads := d.gossip.table.Others(now, d.entryCount(now), own)
 	for _, t := range all {
 		t.SetOthers(loads[t.ID])
 	}
 }
 
-// toldAfter returns how long it takes until all other entries know of a request.
-func (s *sharing) toldAfter() time.Duration {
+// reportDelay returns how long it takes until all other entries know of a request.
+func (s *gossip) reportDelay() time.Duration {
 	if s.withHubs.Load() {
 		return 3 * pkshare.EveryWithHubs / 2
 	}
 	return pkshare.Every
 }
 
-// tellPeers keeps a connection to each other entry and tells it what is new. A
-// message is made and encoded once for all: made for each, idle entries spent twice
-// the processor time.
-func (d *Daemon) tellPeers(ctx context.Context) {
-	s := &d.sharing
+// sendToPeers keeps the links to the other entries and sends them messages. Messages are built and
+// encoded once per round for all links, which saves processor time.
+func (d *Daemon) sendToPeers(ctx context.Context) {
+	s := &d.gossip
 	defer s.wg.Wait()
 	var before pkshare.Message
 	var last time.Time
 	round := 0
-	tell := func(due bool) {
+	send := func(due bool) {
 		now := time.Now()
 		m := d.message(now)
 		due = due || !s.withHubs.Load() || len(m.Suspects) != len(before.Suspects)
-		news := due && (differs(before, m) || now.Sub(last) >= pkshare.Quiet)
-		if news {
+		changed := due && (hasChanges(before, m) || now.Sub(last) >= pkshare.Quiet)
+		if changed {
 			before, last = m, now
 		}
-		d.broadcast(now, m, due, news)
+		d.broadcast(now, m, due, changed)
 	}
-	pktimer.EveryOr(ctx, pkshare.Every, s.urgent, func(ctx context.Context) {
-		if round%linksEvery == 0 {
+	pktimer.EveryOr(ctx, pkshare.Every, s.sendNow, func(ctx context.Context) {
+		if round%roundsPerLinkUpdate == 0 {
 			d.updateLinks(ctx, time.Now())
 		}
 		round++
-		tell(round%sumsEvery == 0)
+		send(round%roundsPerSum == 0)
 	}, func(ctx context.Context) {
-		if pktimer.Sleep(ctx, tellGather) {
-			tell(true)
+		if pktimer.Sleep(ctx, sendBatchDelay) {
+			send(true)
 		}
 	})
 }
 
-// updateLinks begins and ends links by the addresses that are known at now.
+// updateLinks starts and ends links to match the peers known at now.
 func (d *Daemon) updateLinks(ctx context.Context, now time.Time) {
-	s := &d.sharing
+	s := &d.gossip
 	wanted := d.roles(now)
 	for addr, l := range s.links {
 		if _, still := wanted[addr]; !still {
@@ -199,7 +198,7 @@
 	}
 	for addr, role := range wanted {
 		if l := s.links[addr]; l != nil {
-			l.lacks = l.lacks || l.role != role
+			l.incomplete = l.incomplete || l.role != role
 			l.role = role
 			continue
 		}
@@ -210,10 +209,10 @@
 	}
 }
 
-// help adds to a message what an entry misses and says whether that is anything.
-func (d *Daemon) help(now time.Time, m *pkshare.Message, to pkid.EntryID, role pkshare.Role) bool {
+// addMissing adds to a message the state that its receiver lacks, and reports whether there is any.
+func (d *Daemon) addMissing(now time.Time, m *pkshare.Message, to pkid.EntryID, role pkshare.Role) bool {
 	known := pkshare.Known{Self: d.settings.Entry, Config: m.Config, Version: m.Version, List: m.List, Held: m.Held, Hub: role != pkshare.Peer}
-	misses := d.sharing.table.Misses(now, to, known)
+	misses := d.gossip.table.Misses(now, to, known)
 	if table := d.book.Table(); misses.Config && table != nil {
 		item := table.Item
 		m.NewConfig = &item
@@ -227,12 +226,12 @@
 	return misses.Config || misses.List || misses.Held
 }
 
-// roles returns whom to tell: the entries that the store names and those that are heard
-// of, and while neither is known, those of the settings.
+// roles returns the role of each peer to send to by its address. Peers are the members in the store
+// and those known from messages, or the seeds of the settings while neither is known.
 func (d *Daemon) roles(now time.Time) map[string]pkshare.Role {
 	self := d.self()
 	byAddr := map[string]pkshare.Member{}
-	for _, one := range append(d.sharing.table.Members(now), d.members.list()...) {
+	for _, one := range append(d.gossip.table.Members(now), d.members.list()...) {
 		byAddr[one.Addr] = one
 	}
 	if len(byAddr) < 2 {
@@ -244,14 +243,14 @@
 	}
 	delete(byAddr, self.Addr)
 	delete(byAddr, "")
-	d.sharing.withHubs.Store(pkshare.WithHubs(len(byAddr)))
+	d.gossip.withHubs.Store(pkshare.WithHubs(len(byAddr)))
 	others := slices.Collect(maps.Values(byAddr))
-	d.sharing.first.Store(d.sharing.table.IsFirst(now, self, others))
-	return d.sharing.table.Roles(now, self, others)
+	d.gossip.first.Store(d.gossip.table.IsFirst(now, self, others))
+	return d.gossip.table.Roles(now, self, others)
 }
 
-// differs says whether a message says something new.
-func differs(a, b pkshare.Message) bool {
+// hasChanges reports whether message b must be sent after message a.
+func hasChanges(a, b pkshare.Message) bool {
 	if a.Config != b.Config || a.Version != b.Version || a.List != b.List || a.Held != b.Held || len(a.Loads) != len(b.Loads) {
 		return true
 	}
@@ -266,9 +265,9 @@
 	return false
 }
 
-// message returns what all other entries are told at now.
+// message returns the message to all peers at now.
 func (d *Daemon) message(now time.Time) pkshare.Message {
-	s := &d.sharing
+	s := &d.gossip
 	m := pkshare.Message{
 		From: d.settings.Entry, Addr: s.addr, Run: s.run, List: d.roster.At(),
 		DataCenter: d.settings.DataCenter, ProcessorShare: float32(d.settings.ProcessorShare),
@@ -276,14 +275,14 @@
 		Cases:     d.quarantine.table.News(now), Held: d.quarantine.table.Sum(now),
 		Paces: d.paces.Words(now),
 	}
-	if back := now.Sub(d.roster.Returned()); back < storeBackTold {
+	if back := now.Sub(d.roster.Returned()); back < storeReturnAnnounceTime {
 		m.StoreBackMS = max(back.Milliseconds(), 1)
 	}
 	for _, f := range d.pipes.Flows(now) {
 		m.Flows = append(m.Flows, pkshare.Flow{A: f.A, B: f.B, Tokens: float32(f.Tokens)})
 	}
 	if s.withHubs.Load() && s.table.MembersTold(now) == 0 {
-		m.Members = d.members.entries(now, 0)
+		m.Members = d.members.count(now, 0)
 	}
 	if table := d.book.Table(); table != nil {
 		m.Config, m.Version = table.Item.Revision, table.Version
--- /dev/null
+++ b/pkedge/gossip_test.go
@@ -0,0 +1,89 @@
+package pkedge
+
+import (
+	"context"
+	"fmt"
+	"syscall"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"peridotknot.example/pkid"
+	"peridotknot.example/pkpeer"
+	"peridotknot.example/pkshare"
+)
+
+// fleetDaemon returns a daemon with peers in its data centre, whose links are not connected.
+func fleetDaemon(self pkid.EntryID, others int) *Daemon {
+	d, _ := poolDaemon(engine("dead", "a", 0, 80))
+	d.settings.Entry, d.settings.DataCenter = self, "a"
+	d.gossip.sendNow = make(chan struct{}, 1)
+	d.gossip.links = map[string]*link{}
+	for i := range others {
+		id := pkid.EntryID(fmt.Sprintf("m-%02d", i))
+		d.gossip.table.Hear(time.Now(), pkshare.Message{From: id, Addr: string(id), DataCenter: "a", Sequence: 1})
+		d.gossip.links[string(id)] = &link{cancel: func() {}, out: make(chan []byte, 1)}
+	}
+	return d
+}
+
+// receivedSuspects returns the suspicions in the newest message of a link, and fails without one.
+func receivedSuspects(t *testing.T, l *link) []pkshare.Suspect {
+	t.Helper()
+	synctest.Wait()
+	select {
+	case raw := <-l.out:
+		m, err := pkpeer.Decode[pkshare.Message](raw)
+		assert.NilError(t, err)
+		return m.Suspects
+	default:
+		t.Fatal("no message was sent")
+		return nil
+	}
+}
+
+// Guards against late answers because entries learn of a dead engine only by the next regular
+// message of each entry on the way: the one that finds it and the hubs must send a message at once.
+func TestADeadEngineIsReportedAtOnce(t *testing.T) {
+	cases := []struct {
+		name   string
+		others int
+		learn  func(d *Daemon, now time.Time)
+	}{
+		{"by the entry that found it", 2, func(d *Daemon, now time.Time) {
+			one, _ := d.roster.Target("dead")
+			d.suspect(one, now.Add(suspectTTL), syscall.ECONNREFUSED)
+		}},
+		{"by a hub that was told of it", 14, func(d *Daemon, now time.Time) {
+			d.receiveMessage(now, pkshare.Message{From: "m-09", Addr: "m-09", DataCenter: "a", Sequence: 2, Suspects: []pkshare.Suspect{
+				{Target: "dead", ForMS: suspectTTL.Milliseconds(), Gone: true},
+			}})
+		}},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				d := fleetDaemon("a-hub", c.others)
+				ctx, cancel := context.WithCancel(t.Context())
+				defer cancel()
+				go d.sendToPeers(ctx)
+				synctest.Wait()
+				l := d.gossip.links["m-01"]
+				receivedSuspects(t, l)
+
+				time.Sleep(pkshare.Every / 3)
+				c.learn(d, time.Now())
+				time.Sleep(sendBatchDelay)
+				assert.DeepEqual(t, receivedSuspects(t, l), []pkshare.Suspect{{Target: "dead", ForMS: (suspectTTL - sendBatchDelay).Milliseconds(), Gone: true}})
+
+				// A known suspicion waits for the next regular message.
+				c.learn(d, time.Now())
+				time.Sleep(sendBatchDelay)
+				synctest.Wait()
+				assert.Equal(t, len(l.out), 0)
+			})
+		})
+	}
+}
--- a/pkedge/lease.go
+++ b/pkedge/lease.go
@@ -12,38 +12,37 @@
 )
 
 const (
-	// leaseTTL is how long a daemon that fell silent stays a member and an owner;
-	// a pool without an owner serves on, it is only not mended.
+	// leaseTTL is how long a daemon that has failed remains a member and the owner of the pools.
+	// Pools without an owner keep serving but are not reconciled.
 	leaseTTL = 4 * time.Second
-	// leaseMargin is kept of the lease: an order takes some milliseconds and is
-	// given up after orderTimeout.
+	// leaseMargin is the time before the end of the lease when the owner stops sending orders,
+	// which may take up to orderTimeout.
 	leaseMargin = time.Second
-	// leaseEvery is how often the lease is renewed by an entry that others depend on, the owner
-	// of the pools or one that tells them what changes: two renewals may be lost.
-	leaseEvery = time.Second
-	// leaseEveryLed is the same of an entry that is told by others, of which there are many: one
-	// renewal may be lost.
-	leaseEveryLed = 1800 * time.Millisecond
-	// leaseEveryLost is how often a lost lease is asked for anew: that is a whole call to the
-	// store, which mostly is away then.
-	leaseEveryLost = 2 * time.Second
-	// leaseLook is how often it is looked whether a renewal is due.
-	leaseLook = 200 * time.Millisecond
-	// registerSoon is how long after its start a daemon registers though it could not read the
-	// members, which takes some milliseconds.
-	registerSoon = time.Second
-	// registerLook is how often it looks whether it has read them.
-	registerLook = 10 * time.Millisecond
-	// silentAfter is how many renewals in a row fail before watches that wait are
-	// taken for dead.
-	silentAfter = 2
-	// leaveTimeout bounds the last call of a stop.
-	leaveTimeout = 300 * time.Millisecond
+	// leaseRenewInterval is how often the owner of the pools and entries that relay changes renew
+	// their lease; it survives two lost renewals.
+	leaseRenewInterval = time.Second
+	// relayedLeaseRenewInterval is the same for the many entries that have changes relayed to them;
+	// the lease survives one lost renewal.
+	relayedLeaseRenewInterval = 1800 * time.Millisecond
+	// leaseGrantInterval is how often a new lease is requested after a failed request. A grant
+	// costs more than a renewal, and the store is mostly unavailable then.
+	leaseGrantInterval = 2 * time.Second
+	// leaseCheckInterval is how often it is checked whether a renewal is due.
+	leaseCheckInterval = 200 * time.Millisecond
+	// membersReadTimeout is how long a starting daemon waits for the members before it registers.
+	membersReadTimeout = time.Second
+	// membersPollInterval is how often it checks whether they were read.
+	membersPollInterval = 10 * time.Millisecond
+	// maxRenewalFailures is the number of consecutive failed renewals after which watches are
+	// ended.
+	maxRenewalFailures = 2
+	// revokeTimeout bounds the call that revokes the lease when the daemon stops.
+	revokeTimeout = 300 * time.Millisecond
 )
 
-// kept notes a renewal that succeeded or failed. It returns how many failed in a row before it and
-// what it shows of watches under way; nil where it shows nothing.
-func (m *members) kept(err error) (failures int, shows error) {
+// recordRenewal records the result of a renewal. It returns the number of consecutive failures
+// before it, and the reason to end the watches in progress or nil.
+func (m *members) recordRenewal(err error) (failures int, endWatches error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	failures = m.failures
@@ -53,95 +52,96 @@
 		m.failures++
 	}
 	switch {
-	case answered(err):
+	case storeAnswered(err):
 		if m.unanswered {
-			shows = errReconnected
+			endWatches = errReconnected
 		}
 		m.unanswered = false
 	case !errors.Is(err, pkstore.ErrRefused):
 		m.unanswered = true
 	}
-	if m.failures == silentAfter && !answered(err) {
-		shows = errSilence
+	if m.failures == maxRenewalFailures && !storeAnswered(err) {
+		endWatches = errStoreSilent
 	}
-	return failures, shows
+	return failures, endWatches
 }
 
-// answered says whether a renewal that ended with an error or none shows that the store serves this
-// entry: one that knows no such lease does.
-func answered(err error) bool { return err == nil || errors.Is(err, pkstore.ErrNoLease) }
+// storeAnswered reports whether the result of a renewal shows that the store serves this entry,
+// which is also the case if the store does not know the lease.
+func storeAnswered(err error) bool { return err == nil || errors.Is(err, pkstore.ErrNoLease) }
 
-// keepLease keeps this daemon's lease and its entry among the members.
-func (d *Daemon) keepLease(ctx context.Context) {
+// maintainLease renews this daemon's lease and keeps it registered as a member.
+func (d *Daemon) maintainLease(ctx context.Context) {
 	d.awaitMembers(ctx)
 	registered := false
-	var kept time.Time
+	var last time.Time
 	var pause time.Duration
-	pktimer.Every(ctx, leaseLook, func(ctx context.Context) {
+	pktimer.Every(ctx, leaseCheckInterval, func(ctx context.Context) {
 		now := time.Now()
-		if d.stopping.Load() || now.Sub(kept) < pause {
+		if d.stopping.Load() || now.Sub(last) < pause {
 			return
 		}
-		kept = now
-		err := d.keepOnce(ctx, &registered)
-		pause = d.leasePause(now, err)
-		if answered(err) {
+		last = now
+		err := d.renewOrGrant(ctx, &registered)
+		pause = d.renewalDelay(now, err)
+		if storeAnswered(err) {
 			d.store.recordLeaseRenewal(time.Now())
 		}
 		if err != nil && ctx.Err() == nil {
 			d.log.Warn("the lease was not renewed", "error", err)
 		}
-		failures, shows := d.members.kept(err)
+		failures, endWatches := d.members.recordRenewal(err)
 		if err == nil && failures > 0 {
 			d.log.Info("the lease is renewed again", "failures", failures)
 		}
-		if shows != nil {
-			d.watches.End(shows)
+		if endWatches != nil {
+			d.watches.End(endWatches)
 		}
 	})
 }
 
-// leasePause returns how long after a renewal at now, which ended with an error or none, the
-// next is due.
-func (d *Daemon) leasePause(now time.Time, err error) time.Duration {
+// renewalDelay returns the delay until the next renewal after one at now with the given result.
+func (d *Daemon) renewalDelay(now time.Time, err error) time.Duration {
 	m := &d.members
 	m.mu.Lock()
-	lost, failures := m.id == 0, m.failures
+	lost, failures := m.leaseID == 0, m.failures
 	m.mu.Unlock()
 	refused := errors.Is(err, pkstore.ErrRefused)
 	switch {
-	case !lost && !answered(err) && !refused && failures == 0:
-		// Tried over a new connection at once: watches may wait on silent ones meanwhile.
+	case !lost && !storeAnswered(err) && !refused && failures == 0:
+		// Retried at once over a new connection, since watches may wait on one that fell silent.
 		return 0
 	case lost && err != nil && !errors.Is(err, pkstore.ErrNoLease):
-		return leaseEveryLost
-	case d.sharing.first.Load() || !d.membersLed(now):
-		return leaseEvery
+		return leaseGrantInterval
+	case d.gossip.first.Load() || !d.membersRelayed(now):
+		return leaseRenewInterval
 	default:
-		return leaseEveryLed
+		return relayedLeaseRenewInterval
 	}
 }
 
-func (d *Daemon) keepOnce(ctx context.Context, registered *bool) error {
+// renewOrGrant renews the lease, or requests a new one if it was lost, and registers this daemon
+// unless it is registered already.
+func (d *Daemon) renewOrGrant(ctx context.Context, registered *bool) error {
 	m := &d.members
 	sent := pktimer.Boot()
 	m.mu.Lock()
-	kept := m.id
+	current := m.leaseID
 	m.mu.Unlock()
-	if kept == 0 {
+	if current == 0 {
 		id, err := d.Store.Grant(ctx, leaseTTL)
-		d.asked(callGrant, askerLease, err)
+		d.recordStoreCall(callGrant, askerLease, err)
 		if err != nil {
 			return err
 		}
 		m.mu.Lock()
-		m.id = id
+		m.leaseID = id
 		m.mu.Unlock()
 		*registered = false
-	} else if err := d.renew(ctx, kept); err != nil {
+	} else if err := d.renew(ctx, current); err != nil {
 		if errors.Is(err, pkstore.ErrNoLease) {
 			m.mu.Lock()
-			m.id, m.ownRevision = 0, 0
+			m.leaseID, m.ownRevision = 0, 0
 			m.lease.Lost()
 			m.mu.Unlock()
 		}
@@ -156,15 +156,15 @@
 	return d.register(ctx, registered)
 }
 
-// awaitMembers waits a little until the members have been read. Written blindly, the entry of
-// a daemon that was killed meets the one that it has left, and takes a second write.
+// awaitMembers waits up to membersReadTimeout until the members were read. They include the key
+// that a killed daemon has left, which would otherwise cost it a second write to replace.
 func (d *Daemon) awaitMembers(ctx context.Context) {
 	m := &d.members
-	for began := time.Now(); time.Since(began) < registerSoon; {
+	for began := time.Now(); time.Since(began) < membersReadTimeout; {
 		m.mu.Lock()
 		known := m.known
 		m.mu.Unlock()
-		if known || !pktimer.Sleep(ctx, registerLook) {
+		if known || !pktimer.Sleep(ctx, membersPollInterval) {
 			return
 		}
 	}
@@ -172,18 +172,17 @@
 
 func (d *Daemon) renew(ctx context.Context, id pkstore.LeaseID) error {
 	err := d.Store.Renew(ctx, id)
-	d.asked(callRenew, askerLease, err)
+	d.recordStoreCall(callRenew, askerLease, err)
 	return err
 }
 
 func (d *Daemon) write(ctx context.Context, asker string, w pkstore.Swap) (pkstore.Swapped, error) {
 	out, err := d.Store.Swap(ctx, w)
-	d.asked(callWrite, asker, err)
+	d.recordStoreCall(callWrite, asker, err)
 	return out, err
 }
 
-// register writes this daemon's entry under its lease, over one that it left
-// behind when it last ran.
+// register writes this daemon's key under its lease, and replaces one left by a previous run.
 func (d *Daemon) register(ctx context.Context, registered *bool) error {
 	value, err := json.Marshal(d.self())
 	if err != nil {
@@ -191,7 +190,7 @@
 	}
 	m := &d.members
 	m.mu.Lock()
-	w := pkstore.Swap{Key: d.memberKey(), Value: value, Lease: m.id, Old: m.ownRevision}
+	w := pkstore.Swap{Key: d.memberKey(), Value: value, Lease: m.leaseID, Old: m.ownRevision}
 	m.mu.Unlock()
 	out, err := d.write(ctx, askerLease, w)
 	if err == nil && !out.Done {
@@ -205,26 +204,26 @@
 	return nil
 }
 
-// self returns this daemon as the others know it.
+// self returns this daemon as a member.
 func (d *Daemon) self() pkshare.Member {
 	s := &d.settings
-	return pkshare.Member{ID: s.Entry, Addr: d.sharing.addr, DataCenter: s.DataCenter, ProcessorShare: s.ProcessorShare}
+	return pkshare.Member{ID: s.Entry, Addr: d.gossip.addr, DataCenter: s.DataCenter, ProcessorShare: s.ProcessorShare}
 }
 
-// leave gives the lease up, so that another daemon owns at once.
-func (d *Daemon) leave(ctx context.Context) {
+// revokeLease revokes the lease, so that another daemon can become the owner at once.
+func (d *Daemon) revokeLease(ctx context.Context) {
 	m := &d.members
 	m.mu.Lock()
-	id := m.id
+	id := m.leaseID
 	m.lease.Lost()
 	m.mu.Unlock()
 	if id == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
+	ctx, cancel := context.WithTimeout(ctx, revokeTimeout)
 	defer cancel()
 	err := d.Store.Revoke(ctx, id)
-	d.asked(callRevoke, askerLease, err)
+	d.recordStoreCall(callRevoke, askerLease, err)
 	if err != nil {
 		d.log.Warn("the lease was not given up and ends by itself", "error", err)
 	}
--- a/pkedge/link.go
+++ b/pkedge/link.go
@@ -12,71 +12,70 @@
 )
 
 const (
-	// dialTimeout bounds how long it takes to reach an entry.
+	// dialTimeout bounds a connection attempt to a peer.
 	dialTimeout = time.Second
-	// redialFirst and redialMost bound the pause after a lost connection.
-	redialFirst = 100 * time.Millisecond
-	redialMost  = 2 * time.Second
+	// redialBase and redialMax bound the backoff after a lost connection.
+	redialBase = 100 * time.Millisecond
+	redialMax  = 2 * time.Second
 )
 
-// link is the way to one other entry.
+// link sends messages to one peer.
 type link struct {
 	cancel context.CancelFunc
-	// role is what the other entry is to this one.
+	// role is the role of the peer towards this entry.
 	role pkshare.Role
-	// out holds the newest message that has not gone out; an older one is dropped.
+	// out holds the newest message that was not sent yet.
 	out chan []byte
-	// connected is set by a new connection, whose other end has heard nothing yet.
+	// connected is set by a new connection, whose peer has received nothing yet.
 	connected atomic.Bool
-	// lacks says that the other end may not have heard all that was told; it belongs to the loop
-	// that tells peers.
-	lacks bool
+	// incomplete is set if the peer may have missed a message; only sendToPeers uses it.
+	incomplete bool
 }
 
-// put leaves a message for the connection; one before it that has not gone out is dropped.
-func (l *link) put(raw []byte) {
+// enqueue queues a message, and drops an earlier one that was not sent yet.
+func (l *link) enqueue(raw []byte) {
 	if raw == nil {
 		return
 	}
-	l.lacks = false
+	l.incomplete = false
 	select {
 	case <-l.out:
-		l.lacks = true
+		l.incomplete = true
 	default:
 	}
 	l.out <- raw
 }
 
 func (d *Daemon) runLink(ctx context.Context, addr string, l *link) {
-	pause := redialFirst
+	pause := redialBase
 	for ctx.Err() == nil {
 		began := time.Now()
 		err := d.runConn(ctx, addr, l)
 		if ctx.Err() != nil {
 			return
 		}
-		d.log.Info("a peer is not reached", "addr", addr, "error", err)
-		if time.Since(began) > redialMost {
-			pause = redialFirst
+		d.log.Info("peer connection failed", "addr", addr, "error", err)
+		if time.Since(began) > redialMax {
+			pause = redialBase
 		}
 		pktimer.Sleep(ctx, pause/2+rand.N(pause))
-		pause = min(2*pause, redialMost)
+		pause = min(2*pause, redialMax)
 	}
 }
 
-// runConn tells one entry what is left for it until the connection breaks.
+// runConn sends the queued messages over a new connection until it breaks.
 func (d *Daemon) runConn(ctx context.Context, addr string, l *link) error {
 	dial, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	c, err := d.sharing.net.Dial(dial, addr)
+	c, err := d.gossip.net.Dial(dial, addr)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = c.Close() }() // a closed connection has nothing left to lose
+	defer func() { _ = c.Close() }() // nothing is pending on a closed connection
 	ctx, lost := context.WithCancel(ctx)
 	defer lost()
-	d.sharing.wg.Go(func() {
-		// Nothing comes this way; a read ends when the connection does.
+	d.gossip.wg.Go(func() {
+		// Peers send nothing on this connection; the read ends with it.
 		_, _ = c.Receive(ctx)
 		lost()
 	})
@@ -84,7 +83,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			return errors.New("the connection ended")
+			return errors.New("connection closed")
 		case raw := <-l.out:
 			if _, err := c.SendRaw(ctx, raw); err != nil {
 				return err
--- a/pkedge/load_test.go
+++ b/pkedge/load_test.go
@@ -114,8 +114,8 @@
 		d, _ := poolDaemon(infos...)
 		d.settings.DataCenter = centers[i%len(centers)]
 		d.crowding = l.crowding
-		d.members.told = l.entries
-		d.sharing.withHubs.Store(true)
+		d.members.reportedCount = l.entries
+		d.gossip.withHubs.Store(true)
 		daemons = append(daemons, d)
 	}
 	now := time.Now()
@@ -141,7 +141,7 @@
 			out.refused++
 			continue
 		}
-		p.reserve(now, m, &d.pipes, tokens, tokens, d.sharing.toldAfter())
+		p.reserve(now, m, &d.pipes, tokens, tokens, d.gossip.reportDelay())
 		took := answerTime(m, p)
 		all += took
 		served++
--- a/pkedge/members.go
+++ b/pkedge/members.go
@@ -14,71 +14,71 @@
 )
 
 const (
-	memberKey = "entry/"
-	ownerKey  = "owner"
-	// lateMember is how long a member that is gone still counts in the shares of
-	// the retry budget: its last repeats are still in the window.
-	lateMember = 10 * time.Second
+	// memberKeyPrefix and ownerKey are keys below the daemons' own prefix.
+	memberKeyPrefix = "entry/"
+	ownerKey        = "owner"
+	// memberRetention is how long a former member still counts for the retry budget, since its last
+	// retries are still within the window.
+	memberRetention = 10 * time.Second
 )
 
-// members is what a daemon knows of the others, and its own lease.
+// members holds the entries of the fleet, the owner of the pools and this daemon's lease.
 type members struct {
 	mu sync.Mutex
-	// seen is when each daemon was last a member; zero while it is one.
-	seen map[pkid.EntryID]time.Time
-	// peers is how the others know each member.
+	// goneSince is the time since when a former member is gone; zero for present members.
+	goneSince map[pkid.EntryID]time.Time
+	// peers are the members that accept messages.
 	peers map[pkid.EntryID]pkshare.Member
-	// owner is the daemon that owns the pools, at a revision.
+	// owner is the daemon that owns the pools, as of ownerRevision.
 	owner         pkid.EntryID
 	ownerRevision pkstore.Revision
-	known         bool
-	// ownRevision is the revision of this daemon's own entry, as it was last read.
+	// known is set once the members were read.
+	known bool
+	// ownRevision is the revision of this daemon's own key when it was last read.
 	ownRevision pkstore.Revision
-	// told is how many members a hub last named; zero once the list was read again.
-	told int
+	// reportedCount is the number of members last reported by a hub; zero once the list was read
+	// again.
+	reportedCount int
 
-	id    pkstore.LeaseID
-	lease pklease.Lease
-	// failures counts failed renewals in a row.
+	leaseID pkstore.LeaseID
+	lease   pklease.Lease
+	// failures counts consecutive failed renewals.
 	failures int
-	// unanswered says that a renewal got no answer, and none since has shown that the store serves
-	// this entry.
+	// unanswered is set after a renewal without an answer, until the store answers one.
 	unanswered bool
 }
 
-// entries returns how many daemons share what is bounded over all; told is how many hubs
-// tell of, zero where none does. A daemon that has lost its hubs, and perhaps the store with
-// them, goes on with the greater of what they said and what it read: a share that is too
-// small holds the bound.
-func (m *members) entries(now time.Time, told int) int {
+// count returns the number of daemons that share limits of the whole fleet; reported is the number
+// reported by hubs, or zero. Without hubs it returns the larger of the last reported and the listed
+// number: shares that are too small keep the limit.
+func (m *members) count(now time.Time, reported int) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if told > 0 {
-		m.told = told
-		return told
+	if reported > 0 {
+		m.reportedCount = reported
+		return reported
 	}
 	listed := 0
-	for _, gone := range m.seen {
-		if gone.IsZero() || now.Sub(gone) < lateMember {
+	for _, gone := range m.goneSince {
+		if gone.IsZero() || now.Sub(gone) < memberRetention {
 			listed++
 		}
 	}
-	return max(m.told, listed, 1)
+	return max(m.reportedCount, listed, 1)
 }
 
-// membersLed says whether hubs tell at now what this entry would follow the members for.
-// The members change with each entry that comes, goes or loses its lease, and each change
-// costs a call to the store of each entry that follows them. The owner of the pools must see
-// who comes after it.
-func (d *Daemon) membersLed(now time.Time) bool {
+// membersRelayed reports whether hubs relay the members at now, so that this entry need not follow
+// them itself: each change costs a call to the store per follower. The owner of the pools always
+// follows them, since it must see a new owner.
+func (d *Daemon) membersRelayed(now time.Time) bool {
 	m := &d.members
 	m.mu.Lock()
 	may := m.known && m.owner != d.settings.Entry
 	m.mu.Unlock()
-	return may && d.sharing.table.Led(now)
+	return may && d.gossip.table.Led(now)
 }
 
-// list returns the members that take messages.
+// list returns the members that accept messages.
 func (m *members) list() []pkshare.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -89,27 +89,27 @@
 	return out
 }
 
-// entries returns how many daemons share at now what is bounded over all.
-func (d *Daemon) entries(now time.Time) int {
-	return d.members.entries(now, d.sharing.table.MembersTold(now))
+// entryCount returns the number of daemons that share limits of the whole fleet at now.
+func (d *Daemon) entryCount(now time.Time) int {
+	return d.members.count(now, d.gossip.table.MembersTold(now))
 }
 
-// followMembers keeps the list of daemons and the owner.
+// followMembers follows the list of daemons and the owner of the pools.
 func (d *Daemon) followMembers(ctx context.Context) {
 	m := &d.members
 	d.follow(ctx, follower{
-		name:     "members",
-		prefix:   d.OwnPrefix,
-		paceMost: membersPaceMost,
-		list: func(items []pkstore.Item, _ pkstore.Revision) {
+		name:          "members",
+		prefix:        d.OwnPrefix,
+		maxBatchDelay: maxMembersBatchDelay,
+		onList: func(items []pkstore.Item, _ pkstore.Revision) {
 			now := time.Now()
 			d.loadSaved(now, items)
 			m.mu.Lock()
 			defer m.mu.Unlock()
-			m.owner, m.ownerRevision, m.ownRevision, m.known, m.told = "", 0, 0, true, 0
-			for id, gone := range m.seen {
+			m.owner, m.ownerRevision, m.ownRevision, m.known, m.reportedCount = "", 0, 0, true, 0
+			for id, gone := range m.goneSince {
 				if gone.IsZero() {
-					m.seen[id] = now
+					m.goneSince[id] = now
 					delete(m.peers, id)
 				}
 			}
@@ -117,23 +117,23 @@
 				if one.Key == d.memberKey() {
 					m.ownRevision = one.Revision
 				}
-				m.take(now, strings.TrimPrefix(one.Key, d.OwnPrefix), pkstore.Event{Item: one})
+				m.apply(now, strings.TrimPrefix(one.Key, d.OwnPrefix), pkstore.Event{Item: one})
 			}
 		},
-		change: func(events []pkstore.Event, _ pkstore.Revision) {
+		onChange: func(events []pkstore.Event, _ pkstore.Revision) {
 			now := time.Now()
 			d.loadSaved(now, written(events))
 			m.mu.Lock()
 			defer m.mu.Unlock()
 			for _, ev := range events {
-				m.take(now, strings.TrimPrefix(ev.Item.Key, d.OwnPrefix), ev)
+				m.apply(now, strings.TrimPrefix(ev.Item.Key, d.OwnPrefix), ev)
 			}
 		},
-		led: d.membersLed,
+		relayed: d.membersRelayed,
 	})
 }
 
-// written returns the items of events that wrote one.
+// written returns the items written by events.
 func written(events []pkstore.Event) []pkstore.Item {
 	var out []pkstore.Item
 	for _, ev := range events {
@@ -144,7 +144,7 @@
 	return out
 }
 
-func (m *members) take(now time.Time, key string, ev pkstore.Event) {
+func (m *members) apply(now time.Time, key string, ev pkstore.Event) {
 	if key == ownerKey {
 		if ev.Item.Revision < m.ownerRevision {
 			return
@@ -155,28 +155,27 @@
 		}
 		return
 	}
-	name, found := strings.CutPrefix(key, memberKey)
+	name, found := strings.CutPrefix(key, memberKeyPrefix)
 	if !found {
 		return
 	}
-	if m.seen == nil {
-		m.seen = map[pkid.EntryID]time.Time{}
+	if m.goneSince == nil {
+		m.goneSince = map[pkid.EntryID]time.Time{}
 		m.peers = map[pkid.EntryID]pkshare.Member{}
 	}
 	id := pkid.EntryID(name)
 	if ev.Deleted {
-		m.seen[id] = now
+		m.goneSince[id] = now
 		delete(m.peers, id)
 		return
 	}
-	m.seen[id] = time.Time{}
+	m.goneSince[id] = time.Time{}
 	one := pkshare.Member{ID: id}
-	// A member whose value is not readable, of another build, still has its share of
-	// what is bounded over all.
+	// A member whose value cannot be read, such as one of another build, still counts.
 	if err := json.Unmarshal(ev.Item.Value, &one); err == nil && one.Addr != "" {
 		m.peers[id] = one
 	}
 }
 
-// memberKey returns the key of this daemon's own entry.
-func (d *Daemon) memberKey() string { return d.OwnPrefix + memberKey + string(d.settings.Entry) }
+// memberKey returns this daemon's own key.
+func (d *Daemon) memberKey() string { return d.OwnPrefix + memberKeyPrefix + string(d.settings.Entry) }
--- a/pkedge/node_test.go
+++ b/pkedge/node_test.go
@@ -22,10 +22,10 @@
 	"peridotknot.example/platform/platformtest"
 )
 
-// patience is how long a test waits for what must come; it decides nothing.
-const patience = 20 * time.Second
+// waitTimeout is how long a test waits for an expected condition.
+const waitTimeout = 20 * time.Second
 
-// node is a daemon before a stand-in of the platform.
+// node is a daemon with a stand-in for the platform.
 type node struct {
 	*pkedge.Daemon
 	stop   context.CancelFunc
@@ -98,12 +98,12 @@
 	return n
 }
 
-// eventually waits until a condition holds.
+// eventually waits until a condition holds, for at most waitTimeout.
 func eventually(t testing.TB, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("condition not met within the time limit: %s", what)
 		}
 	}
 }
@@ -115,7 +115,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// metric returns a metric's value as text.
+// metric returns the value of a metric as text, or an empty string if it is missing.
 func (n *node) metric(t testing.TB, name string) string {
 	resp, err := http.Get("http://" + n.Ready() + "/metrics")
 	assert.NilError(t, err)
@@ -133,19 +133,19 @@
 	status int
 	body   string
 	header http.Header
-	// closes says that the answer ends its connection.
+	// closes is set if the answer closes its connection.
 	closes bool
-	// err is set where the answer broke off or none came.
+	// err is set if the answer broke off or there was none.
 	err error
 }
 
-// do sends a request with an id; tokens make it one for the model.
+// do sends a request with an id; one with tokens is for a model.
 func (n *node) do(t testing.TB, method, path, id, key string, tokens int) reply {
 	t.Helper()
-	return n.doWithin(t, patience, method, path, id, key, tokens)
+	return n.doWithin(t, waitTimeout, method, path, id, key, tokens)
 }
 
-// doWithin sends a request of a caller who waits for a time.
+// doWithin sends a request of a caller that waits for the given time.
 func (n *node) doWithin(t testing.TB, wait time.Duration, method, path, id, key string, tokens int) reply {
 	t.Helper()
 	text := ""
@@ -155,7 +155,7 @@
 	return n.doWith(t, wait, method, path, id, key, tokens, text)
 }
 
-// doWith sends a request with a body; an empty one is none.
+// doWith sends a request with a body, or without one if the text is empty.
 func (n *node) doWith(t testing.TB, wait time.Duration, method, path, id, key string, tokens int, text string) reply {
 	t.Helper()
 	var body io.Reader
@@ -173,7 +173,8 @@
 	return reply{status: resp.StatusCode, body: string(raw), header: resp.Header, closes: resp.Close, err: err}
 }
 
-func pool(t *testing.T) (*platformtest.World, map[string]*platformtest.Replica) {
+// newPool starts a world with a pool of six engines.
+func newPool(t *testing.T) (*platformtest.World, map[string]*platformtest.Replica) {
 	t.Helper()
 	w := platformtest.NewWorld()
 	t.Cleanup(w.Close)
@@ -193,8 +194,8 @@
 	return b.String()
 }
 
-// streams waits until the pool has been laid out and serves a stream.
-func (n *node) streams(t testing.TB) {
+// waitForStream waits until the engines of the pool have been given layers and serve a stream.
+func (n *node) waitForStream(t testing.TB) {
 	t.Helper()
 	eventually(t, "readiness", func() bool { return n.isReady(t) })
 	i := 0
@@ -204,8 +205,8 @@
 	})
 }
 
-// startStreams starts streams of some events at once and waits until engines run all.
-// It returns their answers and the engines that they came to.
+// startStreams starts streams at the same time and waits until engines run all of them. It returns
+// their answers and their first engines.
 func (n *node) startStreams(t *testing.T, w *platformtest.World, streams, length int) (chan reply, map[string]bool) {
 	t.Helper()
 	answers := make(chan reply, streams)
@@ -228,8 +229,8 @@
 	return answers, first
 }
 
-// allWhole checks that streams of some events come whole.
-func allWhole(t *testing.T, answers chan reply, streams, length int) {
+// assertComplete checks that all streams are complete.
+func assertComplete(t *testing.T, answers chan reply, streams, length int) {
 	t.Helper()
 	for range streams {
 		got := <-answers
@@ -238,7 +239,7 @@
 	}
 }
 
-// link starts a link to the store of a world.
+// link starts a link to the store of a world, which can be interrupted.
 func link(t *testing.T, w *platformtest.World) *platformtest.Link {
 	t.Helper()
 	l := platformtest.NewLink(w.Store.Addr())
--- a/pkedge/own.go
+++ b/pkedge/own.go
@@ -27,7 +27,7 @@
 	takeoverDelay = 3 * time.Second
 	// acquireRetryDelay is the delay after a failed write of the owner's key; within that time a
 	// lease renewal shows whether the store answers again.
-	acquireRetryDelay = leaseEvery
+	acquireRetryDelay = leaseRenewInterval
 	// acquireJitter spreads the daemons' attempts to become the owner.
 	acquireJitter = 150 * time.Millisecond
 )
@@ -56,7 +56,7 @@
 func (d *Daemon) ensureOwnership(ctx context.Context) bool {
 	m := &d.members
 	m.mu.Lock()
-	id, owner, known, rev := m.id, m.owner, m.known, m.ownerRevision
+	id, owner, known, rev := m.leaseID, m.owner, m.known, m.ownerRevision
 	may, answered := m.lease.MayAct(pktimer.Boot()), m.failures == 0
 	m.mu.Unlock()
 	if !known || id == 0 || d.stopping.Load() {
@@ -83,17 +83,17 @@
 // takeoverDelay. An entry that hubs keep informed learns late of a new owner and does not try, and a
 // daemon whose write has failed waits for acquireRetryDelay.
 func (d *Daemon) mayAcquire(now time.Time) bool {
-	if now.Before(d.nextAcquire) || !d.era.settled(now) {
+	if now.Before(d.nextAcquire) || !d.era.mayTakeOver(now) {
 		return false
 	}
-	if d.sharing.table.Led(now) {
+	if d.gossip.table.Led(now) {
 		d.ownerlessSince = time.Time{}
 		return false
 	}
 	if d.ownerlessSince.IsZero() {
 		d.ownerlessSince = now
 	}
-	first := d.sharing.first.Load() && now.Sub(d.started) >= rolesKnown
+	first := d.gossip.first.Load() && now.Sub(d.started) >= rolesKnownAfter
 	return first || now.Sub(d.ownerlessSince) >= takeoverDelay
 }
 
@@ -117,7 +117,7 @@
 	if out.Item.Revision >= m.ownerRevision {
 		m.owner, m.ownerRevision = pkid.EntryID(out.Item.Value), out.Item.Revision
 	}
-	if !out.Done || m.id != id {
+	if !out.Done || m.leaseID != id {
 		return false
 	}
 	m.lease.Terms = pklease.Terms{TTL: leaseTTL, Margin: leaseMargin}
@@ -215,5 +215,5 @@
 func (d *Daemon) suspectRestarted(now time.Time, t *pkreplica.Target) {
 	s := suspicion{until: now.Add(suspectTTL), fault: faultGone, born: t.Born}
 	d.applySuspicion(t, s)
-	d.sharing.announceSuspicion(t.ID, s)
+	d.gossip.announceSuspicion(t.ID, s)
 }
--- a/pkedge/pace.go
+++ b/pkedge/pace.go
@@ -85,7 +85,7 @@
 		return
 	}
 	d.log.Info("engine pace has changed", "target", t.ID, "factor", report.Pace, "source", "report")
-	d.sharing.requestSend()
+	d.gossip.requestSend()
 }
 
 // mergePaces merges the paces reported by another entry, and forwards changes if there are hubs.
@@ -96,15 +96,15 @@
 			changed = true
 		}
 	}
-	if changed && d.sharing.withHubs.Load() {
-		d.sharing.requestSend()
+	if changed && d.gossip.withHubs.Load() {
+		d.gossip.requestSend()
 	}
 }
 
 // requestSend triggers a message to the peers before the next one is due.
-func (s *sharing) requestSend() {
+func (s *gossip) requestSend() {
 	select {
-	case s.urgent <- struct{}{}:
+	case s.sendNow <- struct{}{}:
 	default: // a message is pending already
 	}
 }
--- a/pkedge/pace_test.go
+++ b/pkedge/pace_test.go
@@ -32,11 +32,11 @@
 // once it has recovered.
 func TestStreamsAvoidSlowEngines(t *testing.T) {
 	t.Parallel()
-	w, engines := pool(t)
+	w, engines := newPool(t)
 	near := start(t, w, "n-near")
 	far := startIn(t, w, "n-far", "b")
-	near.streams(t)
-	far.streams(t)
+	near.waitForStream(t)
+	far.waitForStream(t)
 	first := ""
 	for first = range near.firstEngines(t, w, "before") {
 		break
--- a/pkedge/plain.go
+++ b/pkedge/plain.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// maxSends bounds how often a request is offered, also to targets that refuse.
+	// maxSends bounds the sends of a request, including those that targets refuse.
 	maxSends = 6
-	// wholeLimit is the largest answer of a plain service that is read to its end
-	// before it is passed on, so that one that breaks off can be asked for again.
-	wholeLimit = 1 << 20
-	// hedgeShare is the share of the time left after which an idempotent call is
-	// given up on a silent target while another can still be asked.
-	hedgeShare = 0.4
+	// maxBufferedAnswer is the largest answer, in bytes, that is read to its end before it is
+	// forwarded, so that the call can be retried if the answer breaks off.
+	maxBufferedAnswer = 1 << 20
+	// attemptTimeoutShare is the share of the remaining time after which an idempotent call to a
+	// silent target is abandoned in favour of another one.
+	attemptTimeoutShare = 0.4
 )
 
-// chooseService draws the service of a split route by the request's id, so that
-// all entries agree on a request.
+// chooseService selects a service of a traffic split by a hash of the request's id, so that all
+// entries select the same one.
 func chooseService(r *pkconfig.Route, id pkid.RequestID) pkid.ServiceID {
 	total := 0
 	for _, s := range r.Services {
@@ -39,7 +39,7 @@
 		return r.Services[0].Service
 	}
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(id)) // a hash takes everything
+	_, _ = h.Write([]byte(id)) // never fails
 	at := int(h.Sum32() % uint32(total))
 	for _, s := range r.Services {
 		if at -= max(s.Weight, 0); at < 0 {
@@ -50,7 +50,7 @@
 }
 
 func (c *call) retryTerms() pkretry.Terms {
-	return c.retry.Load().terms(c.entries(c.began))
+	return c.retry.Load().terms(c.entryCount(c.began))
 }
 
 // plain serves a call to a plain service.
@@ -63,101 +63,101 @@
 			break
 		}
 		t, found := c.roster.Choose(time.Now(), c.service, c.tried)
-		if !found || !c.mayStart(verdict) {
+		if !found || !c.maySend(verdict) {
 			break
 		}
 		c.sends++
-		a, body, err := c.once(ctx, t)
+		a, body, err := c.sendTo(ctx, t)
 		if err == nil {
 			c.recordSuccess(time.Now())
-			return c.pass(a, body)
+			return c.forward(a, body)
 		}
 		c.suspectFailedSend(time.Now(), err, t)
 		cause = err
-		verdict = pkverdict.Join(verdict, c.note(t, err))
+		verdict = pkverdict.Join(verdict, c.recordSendFailure(t, err))
 		if verdict != pkverdict.NotRun && a != nil && c.sends >= c.route.MaxAttempts {
-			// The target's own failure is passed on as it is.
-			return c.pass(a, body)
+			// The target's own error answer is forwarded unchanged.
+			return c.forward(a, body)
 		}
 		if !verdict.MayRepeat(c.route.Repeatable()) {
 			if a != nil {
-				return c.pass(a, body)
+				return c.forward(a, body)
 			}
 			break
 		}
 	}
-	return c.ended(ctx, verdict, cause)
+	return c.finalError(ctx, verdict, cause)
 }
 
-// mayStart says whether a further send is allowed.
-func (c *call) mayStart(verdict pkverdict.Verdict) bool {
-	if c.arrived == 0 {
-		// A target that refused the connection was not sent anything, and the bound on
-		// repeats counts what reaches targets. Counted as a repeat, a third of the
-		// callers who met a crashed engine were turned away for a spent budget.
+// maySend reports whether another send is allowed, and charges a retry to the retry budget.
+func (c *call) maySend(verdict pkverdict.Verdict) bool {
+	if c.delivered == 0 {
+		// The retry budget bounds the requests that reach targets; a target that refused the
+		// connection was sent nothing.
 		return true
 	}
-	if !c.mayRepeat(verdict) {
+	if !c.mayRetry(verdict) {
 		return false
 	}
-	if !c.pay() {
-		c.log.Warn("the retry budget is spent", "request_id", c.req.Ask.ID, "service", c.service, "entries", c.entries(time.Now()))
+	if !c.chargeRetry() {
+		c.log.Warn("retry budget is spent", "request_id", c.req.Ask.ID, "service", c.service, "entries", c.entryCount(time.Now()))
 		return false
 	}
 	return true
 }
 
-// mayRepeat says whether a request that came to a verdict may be sent again at all.
-func (c *call) mayRepeat(verdict pkverdict.Verdict) bool {
+// mayRetry reports whether the verdict and the limit of attempts allow another send.
+func (c *call) mayRetry(verdict pkverdict.Verdict) bool {
 	return verdict.MayRepeat(c.route.Repeatable()) && c.runs < c.route.MaxAttempts
 }
 
-// pay counts a further send in the retry budget and says whether it allows it.
-func (c *call) pay() bool {
-	if !c.paid && !c.budgets.of(c.service).Repeat(time.Now(), c.retryTerms()) {
+// chargeRetry charges a send to the retry budget, unless that was done already, and reports whether
+// the budget allows it.
+func (c *call) chargeRetry() bool {
+	if !c.charged && !c.budgets.of(c.service).Repeat(time.Now(), c.retryTerms()) {
 		return false
 	}
-	c.paid = false
+	c.charged = false
 	c.metrics.repeated.Inc()
 	return true
 }
 
-// note records a failed send for the target and the request and returns its
-// verdict.
-func (c *call) note(t *pkreplica.Target, err error) pkverdict.Verdict {
+// recordSendFailure records a failed send to a target and returns its verdict. The target is not
+// tried again.
+func (c *call) recordSendFailure(t *pkreplica.Target, err error) pkverdict.Verdict {
 	c.tried = append(c.tried, t.ID)
 	var failure *pkverdict.Error
 	if !errors.As(err, &failure) {
 		failure = &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: err}
 	}
-	c.count(failure)
+	c.countFailure(failure)
 	c.metrics.failed.WithLabelValues(failure.Verdict.String(), string(failure.Reason)).Inc()
 	c.log.Info("a send failed", "request_id", c.req.Ask.ID, "digest", c.digest.String(), "target", t.ID, "send", c.sends,
 		"verdict", failure.Verdict.String(), "reason", string(failure.Reason), "error", failure.Err)
 	return failure.Verdict
 }
 
-// count counts a failed send by what may have come of it.
-func (c *call) count(failure *pkverdict.Error) {
+// countFailure counts a failed send in runs and delivered, depending on its verdict and reason.
+func (c *call) countFailure(failure *pkverdict.Error) {
 	if failure.Verdict != pkverdict.NotRun {
 		c.runs++
 	}
 	if failure.Reason != pkverdict.ReasonUnreachable {
-		c.arrived++
+		c.delivered++
 	}
 }
 
-// errOwnFailure marks an answer by which the target itself says that it failed.
-var errOwnFailure = errors.New("the target answered with a failure")
+// errTargetFailure marks an error answer of the target itself.
+var errTargetFailure = errors.New("target answered with an error status")
 
-// once sends the call to one target and reads the answer whole. With an error, an
-// answer that is not nil is the target's own failure.
-func (c *call) once(ctx context.Context, t *pkreplica.Target) (*pkforward.Answer, []byte, error) {
+// sendTo sends the call to one target and reads the complete answer. An answer that is returned
+// together with an error is an error answer of the target.
+func (c *call) sendTo(ctx context.Context, t *pkreplica.Target) (*pkforward.Answer, []byte, error) {
 	began := time.Now()
 	left := c.deadline.Sub(began)
 	if c.route.Repeatable() && c.runs+1 < c.route.MaxAttempts {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, time.Duration(hedgeShare*float64(left)))
+		ctx, cancel = context.WithTimeout(ctx, time.Duration(attemptTimeoutShare*float64(left)))
 		defer cancel()
 	}
 	t.Begin(began, 0, 0, 0)
@@ -167,11 +167,11 @@
 		t.Reported(time.Now(), a.Load)
 	}
 	if err != nil {
-		c.blame(t, began, a, err)
+		c.recordTargetFailure(t, began, a, err)
 		return nil, nil, err
 	}
 	defer a.Close()
-	body, err := a.ReadWhole(wholeLimit)
+	body, err := a.ReadWhole(maxBufferedAnswer)
 	if err != nil {
 		t.Failed(time.Now())
 		return nil, nil, err
@@ -179,45 +179,44 @@
 	took := time.Since(began)
 	switch {
 	case a.Status >= http.StatusInternalServerError:
-		// It ran. A target that fails fast must not look like a fast target.
+		// It may have run. A target that fails quickly must not look like a fast one.
 		t.Slow(took * 2)
-		return a, body, &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: errOwnFailure}
+		return a, body, &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: errTargetFailure}
 	case a.Status/100 == 2 && !a.Sealed, a.Header.Get("Content-Encoding") != "":
-		// Not the target's own bytes: something on the way spoiled them.
+		// Something between the target and the router altered the answer.
 		t.Failed(time.Now())
-		return nil, nil, &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: errSpoiled}
+		return nil, nil, &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: errAlteredAnswer}
 	}
 	t.Succeeded(took)
 	return a, body, nil
 }
 
-// errSpoiled marks an answer that is not the target's own.
-var errSpoiled = errors.New("the answer is not the target's own")
+// errAlteredAnswer marks an answer without the target's seal or with a content encoding.
+var errAlteredAnswer = errors.New("answer is not sealed by the target or has a content encoding")
 
-// blame passes a target over after a failure that was its own: not where the
-// caller left or its time was up.
-func (c *call) blame(t *pkreplica.Target, began time.Time, a *pkforward.Answer, err error) {
+// recordTargetFailure backs off from a target after a failed send or records it as slow. It does
+// nothing if the caller has left.
+func (c *call) recordTargetFailure(t *pkreplica.Target, began time.Time, a *pkforward.Answer, err error) {
 	now := time.Now()
 	switch {
 	case c.r.Context().Err() != nil:
 	case a != nil && a.Status == http.StatusMisdirectedRequest:
-		// Another replica has the address: the one asked for is gone.
-		t.Avoid(now.Add(misdirectedPause))
+		// Another replica has the address: the target is gone.
+		t.Avoid(now.Add(misdirectedTTL))
 	case a != nil:
-		// Full. Its load report says for how long.
+		// The target is full.
 		t.Slow(now.Sub(began) * 2)
 	case errors.Is(err, context.DeadlineExceeded):
 		t.Slow(now.Sub(began))
 	default:
-		until := c.failed(now, t, err)
-		c.log.Info("a target is passed over", "target", t.ID, "request_id", c.req.Ask.ID, "for_ms", until.Sub(now).Milliseconds(), "error", err)
+		until := c.avoidFailed(now, t, err)
+		c.log.Info("target avoided after a failed send", "target", t.ID, "request_id", c.req.Ask.ID, "for_ms", until.Sub(now).Milliseconds(), "error", err)
 	}
 }
 
-// failed passes a target over after a failure and returns until when. One that refuses
-// connections has no process; the other entries are told, or each of them would learn it
-// by callers of its own.
-func (d *Daemon) failed(now time.Time, t *pkreplica.Target, err error) time.Time {
+// avoidFailed avoids a target after a failure and returns until when. A target that refuses
+// connections has no process and is reported to the other entries.
+func (d *Daemon) avoidFailed(now time.Time, t *pkreplica.Target, err error) time.Time {
 	until := t.Failed(now)
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		return until
@@ -227,16 +226,16 @@
 	return until
 }
 
-// misdirectedPause is how long a target whose address another replica has is
-// passed over; its entry lapses within that time.
-const misdirectedPause = 5 * time.Second
+// misdirectedTTL is how long a target is avoided that answered a request as misdirected. Its list
+// entry expires or changes within that time.
+const misdirectedTTL = 5 * time.Second
 
-// pass passes a whole answer on as it is.
-func (c *call) pass(a *pkforward.Answer, body []byte) error {
+// forward sends a complete answer of a target to the caller.
+func (c *call) forward(a *pkforward.Answer, body []byte) error {
 	h := c.w.Header()
 	pkforward.Forward(h, a.Header)
 	h["Content-Length"] = []string{strconv.Itoa(len(body))}
-	c.begun = true
+	c.headSent = true
 	c.w.WriteHeader(a.Status)
 	if _, err := c.w.Write(body); err != nil {
 		return errCallerLeft
--- a/pkedge/poison_test.go
+++ b/pkedge/poison_test.go
@@ -40,7 +40,7 @@
 	if p.tokens > 0 {
 		method, body = http.MethodPost, "the same each time"
 	}
-	got := n.doWith(t, patience, method, p.uri, fmt.Sprintf("poison-%d", p.sent), platformtest.Key, p.tokens, body)
+	got := n.doWith(t, waitTimeout, method, p.uri, fmt.Sprintf("poison-%d", p.sent), platformtest.Key, p.tokens, body)
 	for _, id := range p.w.Ended()[p.replaced:] {
 		p.replaced++
 		p.w.Store.Delete("servers/" + id)
@@ -56,7 +56,7 @@
 	for i := 0; len(p.w.Ended()) < 3; i++ {
 		n := nodes[i%len(nodes)]
 		if p.tokens > 0 {
-			n.streams(t)
+			n.waitForStream(t)
 		}
 		p.send(t, n)
 		assert.Assert(t, i < 20, "the request does not reach replicas")
@@ -68,7 +68,7 @@
 // that follow fail.
 func (p *poisonRequest) waitQuarantined(t *testing.T, nodes ...*node) {
 	t.Helper()
-	end := time.Now().Add(patience)
+	end := time.Now().Add(waitTimeout)
 	for _, n := range nodes {
 		for n.metric(t, quarantinedMetric) != "1" && time.Now().Before(end) {
 			time.Sleep(5 * time.Millisecond)
@@ -110,7 +110,7 @@
 // engine.
 func TestRequestThatCrashesEnginesIsQuarantined(t *testing.T) {
 	t.Parallel()
-	w, _ := pool(t)
+	w, _ := newPool(t)
 	one, two := start(t, w, "one"), start(t, w, "two")
 	waitForPeers(t, one, two)
 	p := &poisonRequest{w: w, service: platformtest.Pool, uri: "/talk/poison", tokens: 5}
@@ -118,7 +118,7 @@
 	p.crashReplicas(t, one, two)
 	p.assertRefused(t, one, two)
 
-	one.streams(t)
+	one.waitForStream(t)
 	got := two.do(t, http.MethodPost, "/talk/2", "sound", platformtest.Key, 3)
 	assert.Equal(t, got.body, events(3), "another request of the same caller")
 }
@@ -127,11 +127,11 @@
 // two in a row: each must be served, if need be when it is sent again.
 func TestOtherStreamsSurviveAPoisonRequest(t *testing.T) {
 	t.Parallel()
-	w, _ := pool(t)
+	w, _ := newPool(t)
 	one, two := start(t, w, "one"), start(t, w, "two")
 	waitForPeers(t, one, two)
-	one.streams(t)
-	two.streams(t)
+	one.waitForStream(t)
+	two.waitForStream(t)
 	const streams, length = 12, 400
 	type outcome struct {
 		stream int
@@ -140,7 +140,7 @@
 	answers := make(chan outcome, streams)
 	send := func(n *node, stream, again int) outcome {
 		id := fmt.Sprintf("beside-%d-%d", stream, again)
-		got := n.doWith(t, patience, http.MethodPost, fmt.Sprintf("/talk/%d", stream), id, platformtest.Key, length, fmt.Sprint("prompt ", stream))
+		got := n.doWith(t, waitTimeout, http.MethodPost, fmt.Sprintf("/talk/%d", stream), id, platformtest.Key, length, fmt.Sprint("prompt ", stream))
 		return outcome{stream: stream, reply: got}
 	}
 	for i := range streams {
@@ -161,7 +161,7 @@
 		got := <-answers
 		for again := 1; got.reply.err != nil || got.reply.status != http.StatusOK; again++ {
 			assert.Assert(t, again < 200, "stream %d is not served: %d", got.stream, got.reply.status)
-			one.streams(t)
+			one.waitForStream(t)
 			got = send([]*node{one, two}[again%2], got.stream, again)
 		}
 		assert.Equal(t, got.reply.body, events(length))
--- a/pkedge/quarantine.go
+++ b/pkedge/quarantine.go
@@ -99,7 +99,7 @@
 	var failure *pkverdict.Error
 	switch {
 	case !errors.As(err, &failure) || failure.Verdict == pkverdict.NotRun:
-	case errors.Is(err, errOwnFailure) || errors.Is(err, errSpoiled):
+	case errors.Is(err, errTargetFailure) || errors.Is(err, errAlteredAnswer):
 	case errors.Is(err, context.DeadlineExceeded) || c.r.Context().Err() != nil:
 	default:
 		c.recordInterrupted(now, t, true)
@@ -277,7 +277,7 @@
 		return err
 	}
 	lease, err := d.Store.Grant(ctx, d.quarantine.table.Left(now, one.Digest))
-	d.asked(callGrant, askerQuarantine, err)
+	d.recordStoreCall(callGrant, askerQuarantine, err)
 	if err != nil {
 		return err
 	}
--- a/pkedge/quarantine_fleet_test.go
+++ b/pkedge/quarantine_fleet_test.go
@@ -50,12 +50,12 @@
 	d, _ := poolDaemon()
 	d.settings.Entry = pkid.EntryID(fmt.Sprintf("%s-%03d", dc, i))
 	d.settings.DataCenter, d.settings.ProcessorShare = dc, share
-	d.sharing.addr, d.sharing.run = string(d.settings.Entry), f.rand.Uint64()
-	d.sharing.urgent = make(chan struct{}, 1)
+	d.gossip.addr, d.gossip.run = string(d.settings.Entry), f.rand.Uint64()
+	d.gossip.sendNow = make(chan struct{}, 1)
 	f.peers[d.settings.Entry] = d.self()
 	d.members.peers = f.peers
 	f.entries = append(f.entries, d)
-	f.byAddr[d.sharing.addr] = d
+	f.byAddr[d.gossip.addr] = d
 	return d
 }
 
@@ -84,13 +84,13 @@
 			if role != pkshare.Peer {
 				m.Sum = &pkshare.Sum{All: role == pkshare.OfHub}
 			}
-			from.help(f.now, &m, to.settings.Entry, role)
+			from.addMissing(f.now, &m, to.settings.Entry, role)
 			if f.olderBuild[from] {
 				m.Cases, m.Held = nil, 0
 			}
 			sent += size(t, quarantinePart(m))
 			if !f.partitioned[to] && !f.olderBuild[to] && f.rand.Float64() >= f.lossRate {
-				to.hear(f.now, m)
+				to.receiveMessage(f.now, m)
 			}
 		}
 		f.maxRoundBytes = max(f.maxRoundBytes, sent)
--- a/pkedge/quarantine_test.go
+++ b/pkedge/quarantine_test.go
@@ -64,12 +64,12 @@
 		{"lost and silent", lostSend(io.EOF), func(d *Daemon) { d.target(t, "a").Dead(now.Add(suspectTTL)) }, 0, 0},
 		{"restarted", lostSend(io.EOF), func(d *Daemon) { d.roster.Restarted("a", 200) }, 0, 1},
 		{"refused", &pkverdict.Error{Verdict: pkverdict.NotRun, Reason: pkverdict.ReasonRefused, Err: io.EOF}, gone, 0, 0},
-		{"failure answered by the target", lostSend(errOwnFailure), gone, 0, 0},
-		{"invalid answer", lostSend(errSpoiled), gone, 0, 0},
+		{"failure answered by the target", lostSend(errTargetFailure), gone, 0, 0},
+		{"invalid answer", lostSend(errAlteredAnswer), gone, 0, 0},
 		{"deadline exceeded", lostSend(context.DeadlineExceeded), gone, 0, 0},
 		{"the caller left", errCallerLeft, gone, 0, 0},
 	} {
-		d, _ := poolDaemon(born(engine("a", "x", 0, 80), 100))
+		d, _ := poolDaemon(withBirth(engine("a", "x", 0, 80), 100))
 		one := d.target(t, "a")
 		newCall(d, poison).suspectFailedSend(now, row.err, one)
 		d.checkInterrupted(now)
@@ -81,7 +81,7 @@
 	d, _ := poolDaemon(engine("a", "x", 0, 80))
 	draining := engine("a", "x", 0, 80)
 	draining.Leaving = true
-	d.lists(now, 2, draining)
+	d.applyListEntry(now, 2, draining)
 	newCall(d, poison).suspectFailedSend(now, lostSend(io.EOF), d.target(t, "a"))
 	gone(d)
 	d.checkInterrupted(now)
@@ -117,7 +117,7 @@
 	a.began = now.Add(-time.Second)
 	d.reroute(t.Context(), a, d.target(t, "a"), reasonDead)
 	d.reroute(t.Context(), a, d.target(t, "b"), reasonDead)
-	a.recordFailure(now, lostSend(errMoved))
+	a.recordFailure(now, lostSend(errRerouted))
 	for _, one := range d.checkInterrupted(now.Add(probeDelay)) {
 		d.quarantine.clearInterrupted(one, now.Add(probeDelay))
 	}
@@ -197,10 +197,10 @@
 	err := c.checkQuarantine(now)
 	assert.Assert(t, errors.Is(err, errQuarantined))
 	var got *rejection
-	assert.Assert(t, errors.As(c.ended(t.Context(), pkverdict.NotRun, err), &got))
+	assert.Assert(t, errors.As(c.finalError(t.Context(), pkverdict.NotRun, err), &got))
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Assert(t, got.retryAfter > pkquarantine.HoldFor-2*time.Second && got.retryAfter <= pkquarantine.HoldFor)
-	assert.Assert(t, errors.As(c.ended(t.Context(), pkverdict.MayHaveRun, err), &got))
+	assert.Assert(t, errors.As(c.finalError(t.Context(), pkverdict.MayHaveRun, err), &got))
 	assert.Equal(t, got.status, http.StatusBadGateway)
 	assert.Equal(t, got.retryAfter, time.Duration(0))
 }
@@ -288,7 +288,7 @@
 	a.cancel = func(err error) { cause = err }
 	d.target(t, "b").Gone(now.Add(suspectTTL))
 	d.reroute(t.Context(), a, d.target(t, "b"), reasonDead)
-	assert.Assert(t, errors.Is(cause, errMoved))
+	assert.Assert(t, errors.Is(cause, errRerouted))
 	assert.Equal(t, a.currentPath().index("beside"), -1)
 	cause = nil
 	d.reroute(t.Context(), a, d.target(t, "b"), reasonLeaving)
--- a/pkedge/refusal_test.go
+++ b/pkedge/refusal_test.go
@@ -62,7 +62,7 @@
 			answer := &pkforward.Answer{Status: http.StatusServiceUnavailable, Head: pkforward.Head{NotRun: true, Fault: row.fault}}
 			refusal := &pkverdict.Error{Verdict: pkverdict.NotRun, Reason: pkverdict.ReasonRefused, Err: errors.New("status 503")}
 			for range 3 {
-				a.call.blamePath(t.Context(), a, answer, refusal)
+				a.call.recordPathFailure(t.Context(), a, answer, refusal)
 			}
 			for len(d.refusedEngines) > 0 {
 				d.checkRefusedEngine(t.Context(), <-d.refusedEngines)
@@ -106,7 +106,7 @@
 			d.refusedEngines = make(chan refusedEngine, maxRefusedEngines)
 			a := attemptOver(t, d, s, "a", "b")
 			for range 5 {
-				a.call.blamePath(t.Context(), a, refusal, failure)
+				a.call.recordPathFailure(t.Context(), a, refusal, failure)
 			}
 			for len(d.refusedEngines) > 0 {
 				d.checkRefusedEngine(t.Context(), <-d.refusedEngines)
@@ -121,7 +121,7 @@
 			other, _ := poolDaemon(engine("a", "x", 0, 40), engine("b", "x", 40, 80))
 			other.receiveSuspicion(time.Now(), "one", d.message(time.Now()).Suspects[0])
 			assert.Assert(t, other.target(t, "b").Hopeless(time.Now()))
-			d.lists(time.Now(), 2, engine("b", "x", 40, 60))
+			d.applyListEntry(time.Now(), 2, engine("b", "x", 40, 60))
 			assert.Assert(t, !d.target(t, "b").Hopeless(time.Now()), "its list entry has changed")
 		})
 	}
--- a/pkedge/list.go
+++ b/pkedge/replicas.go
@@ -8,13 +8,13 @@
 	"peridotknot.example/pkstore"
 )
 
-// followReplicas keeps the list of replicas.
+// followReplicas follows the list of replicas.
 func (d *Daemon) followReplicas(ctx context.Context) {
 	d.follow(ctx, follower{
-		name:     "replicas",
-		prefix:   d.ReplicaPrefix,
-		paceMost: replicasPaceMost,
-		list: func(items []pkstore.Item, at pkstore.Revision) {
+		name:          "replicas",
+		prefix:        d.ReplicaPrefix,
+		maxBatchDelay: maxReplicasBatchDelay,
+		onList: func(items []pkstore.Item, at pkstore.Revision) {
 			events := make([]pkstore.Event, len(items))
 			for i := range items {
 				events[i].Item = items[i]
@@ -23,17 +23,17 @@
 			d.listed.Store(true)
 			d.replicasChanged(changed, at, "list")
 		},
-		change: func(events []pkstore.Event, at pkstore.Revision) {
+		onChange: func(events []pkstore.Event, at pkstore.Revision) {
 			d.replicasChanged(d.roster.Apply(time.Now(), d.records(events), at), at, "watch")
 		},
-		led:  func(now time.Time) bool { return d.listed.Load() && d.sharing.table.Led(now) },
-		lost: func() { d.roster.StoreAway(time.Now()) },
-		back: d.storeBack,
+		relayed: func(now time.Time) bool { return d.listed.Load() && d.gossip.table.Led(now) },
+		onLost:  func() { d.roster.StoreAway(time.Now()) },
+		onBack:  d.onStoreBack,
 	})
 }
 
-// records reads the entries of events. One that names no replica takes the place of an earlier
-// sound one: the replica of that is not known to be there any more.
+// records decodes the list entries of events. An entry that names no usable replica still replaces
+// an earlier valid one, whose replica may be gone.
 func (d *Daemon) records(events []pkstore.Event) []pkreplica.Record {
 	out := make([]pkreplica.Record, 0, len(events))
 	for _, ev := range events {
@@ -44,15 +44,15 @@
 		}
 		record, err := d.Replica(ev.Item)
 		if err != nil {
-			d.log.Debug("an entry names no replica", "key", ev.Item.Key, "revision", ev.Item.Revision.String(), "error", err)
+			d.log.Debug("invalid replica entry", "key", ev.Item.Key, "revision", ev.Item.Revision.String(), "error", err)
 		}
 		out = append(out, record)
 	}
 	return out
 }
 
-// replicasChanged logs what changed in the list, and lets go what belonged to processes that
-// are gone.
+// replicasChanged logs the changes of the list, closes idle connections to ended processes and
+// triggers a check of the streams.
 func (d *Daemon) replicasChanged(changed []pkreplica.Record, at pkstore.Revision, source string) {
 	if len(changed) == 0 {
 		return
@@ -70,15 +70,14 @@
 	d.log.Info("replica changed", "target", one.Info.ID, "service", one.Info.Service, "revision", one.Revision.String(),
 		"known_to", at.String(), "source", source, "gone", one.Deleted, "leaving", one.Info.Leaving,
 		"first", one.Info.Held.First, "end", one.Info.Held.End, "born", one.Info.Born, "addr", one.Info.Addr)
-	if problem := d.problem(one); problem != "" {
-		d.log.Warn("an entry names no replica to use", "target", one.Info.ID, "revision", one.Revision.String(), "source", source, "field", problem)
+	if problem := d.unusableField(one); problem != "" {
+		d.log.Warn("unusable replica entry", "target", one.Info.ID, "revision", one.Revision.String(), "source", source, "field", problem)
 		d.metrics.unusable.WithLabelValues(problem).Inc()
 	}
 }
 
-// problem returns the field of an entry that keeps its replica from being used; empty where
-// none does.
-func (d *Daemon) problem(one pkreplica.Record) string {
+// unusableField returns the field that makes a replica's list entry unusable, or an empty string.
+func (d *Daemon) unusableField(one pkreplica.Record) string {
 	table := d.book.Table()
 	switch {
 	case one.Unusable != "":
--- a/pkedge/reroute.go
+++ b/pkedge/reroute.go
@@ -122,7 +122,7 @@
 func (d *Daemon) reroute(ctx context.Context, a *attempt, t *pkreplica.Target, reason string) {
 	now := time.Now()
 	if a.recordEngineDeath(now, t, reason) {
-		a.cancel(errMoved) // the request would crash another engine
+		a.cancel(errRerouted) // the request would crash another engine
 		return
 	}
 	by, found := d.findDetour(now, a, t)
@@ -131,7 +131,7 @@
 	case inPlace && d.repath(ctx, a, t, reason, by):
 	case a.canRetry && d.reserveRetry(a, reason):
 		d.log.Info("a stream goes on by another attempt", "request_id", a.call.req.Ask.ID, "target", t.ID, "why", reason)
-		a.cancel(errMoved)
+		a.cancel(errRerouted)
 	case a.canRetry && reason == reasonLeaving:
 		a.keepPath()
 	case found && !inPlace && d.repath(ctx, a, t, reason, by):
@@ -166,7 +166,7 @@
 	if _, found := d.choosePath(now, a.service, a.tokens, 1); !found {
 		return false
 	}
-	budget, terms := d.budgets.of(a.call.service), d.retry.Load().terms(d.entries(now))
+	budget, terms := d.budgets.of(a.call.service), d.retry.Load().terms(d.entryCount(now))
 	if reason == reasonLeaving && !budget.Spare(now, terms, drainRetryReserve) {
 		return false
 	}
@@ -183,7 +183,7 @@
 	at := old.index(t.ID)
 	// Reserved before the order, since the other streams of the same engine choose their paths
 	// meanwhile.
-	by.reserve(time.Now(), a.service.Engine, &d.pipes, a.tokens, a.tokens, d.sharing.toldAfter())
+	by.reserve(time.Now(), a.service.Engine, &d.pipes, a.tokens, a.tokens, d.gossip.reportDelay())
 	next := old.withReplaced(at, by)
 	order, cancel := context.WithTimeout(ctx, repathTimeout)
 	outcome, err := d.Engines.Repath(order, old.first().Addr, a.call.req.Ask.ID, next.hops)
--- a/pkedge/reroute_test.go
+++ b/pkedge/reroute_test.go
@@ -33,7 +33,7 @@
 // poolDaemon returns a daemon that knows the engines of one model and runs no loops.
 func poolDaemon(infos ...pkreplica.Info) (*Daemon, *pkconfig.Service) {
 	d := &Daemon{log: hclog.NewNullLogger(), crowding: pklayers.FreeCrowding}
-	d.sharing.suspects = map[pkid.TargetID]suspicion{}
+	d.gossip.suspects = map[pkid.TargetID]suspicion{}
 	var records []pkreplica.Record
 	for _, info := range infos {
 		info.Service = "models"
@@ -73,11 +73,11 @@
 	d.Engines = unresponsiveEngines{}
 	a := attemptOver(t, d, s, "first", "second")
 	ctx, cancel := context.WithCancelCause(t.Context())
-	cancel(errMoved)
+	cancel(errRerouted)
 	assert.Assert(t, !a.call.checkStalled(ctx, a))
 	first, _ := d.roster.Target("first")
 	assert.Assert(t, !first.Avoided(time.Now()))
-	assert.Equal(t, len(d.sharing.suspects), 0)
+	assert.Equal(t, len(d.gossip.suspects), 0)
 }
 
 // Guards against detours through a congested pipe for an answer in progress, even if the engines
@@ -174,7 +174,7 @@
 			second, _ := d.roster.Target("second")
 			d.reroute(t.Context(), a, second, reasonDead)
 			if !c.inPlace {
-				assert.Equal(t, moved, errMoved)
+				assert.Equal(t, moved, errRerouted)
 				assert.Equal(t, len(engines.path), 0)
 				return
 			}
@@ -228,7 +228,7 @@
 	one, reason := a.needsReroute(now)
 	assert.Equal(t, reason, reasonDead)
 	d.reroute(t.Context(), a, one, reason)
-	assert.Equal(t, moved, errMoved)
+	assert.Equal(t, moved, errRerouted)
 	assert.Equal(t, len(engines.path), 0)
 }
 
@@ -267,14 +267,14 @@
 		d.retry.Store(&Retry{WindowS: 1, Slack: 1.5 / 0.85})
 		a := attemptOver(t, d, s, "first")
 		c := a.call
-		c.service, c.arrived, c.runs = s.ID, 1, 1
-		assert.Assert(t, c.mayStart(pkverdict.NotRun))
-		assert.Assert(t, !c.mayStart(pkverdict.NotRun), "the budget is spent")
+		c.service, c.delivered, c.runs = s.ID, 1, 1
+		assert.Assert(t, c.maySend(pkverdict.NotRun))
+		assert.Assert(t, !c.maySend(pkverdict.NotRun), "the budget is spent")
 		began := time.Now()
 		assert.Assert(t, !c.waitForBudget(t.Context(), pkverdict.NotRun))
 		assert.Equal(t, time.Since(began), time.Duration(0))
-		c.begun = true
+		c.headSent = true
 		assert.Assert(t, c.waitForBudget(t.Context(), pkverdict.NotRun))
-		assert.Assert(t, time.Since(began) <= begunWait)
+		assert.Assert(t, time.Since(began) <= resumeTimeout)
 	})
 }
--- a/pkedge/scale_bench_test.go
+++ b/pkedge/scale_bench_test.go
@@ -13,7 +13,7 @@
 	"peridotknot.example/pkreplica"
 )
 
-// scaleDaemon returns a daemon before so many engines, some of which it has requests at.
+// scaleDaemon returns a daemon that knows the given number of engines and has requests at some.
 func scaleDaemon(engines int) (*Daemon, *pkconfig.Service) {
 	m := mixedModel()
 	kinds := []pkid.Kind{"h100", "a100s", "a100s", "l4", "l4", "l4", "l4", "l4", "t4", "t4", "t4", "t4"}
@@ -29,8 +29,8 @@
 	}
 	d, _ := poolDaemon(infos...)
 	d.settings.DataCenter = "d0"
-	d.members.told = engines / 10
-	d.sharing.withHubs.Store(true)
+	d.members.reportedCount = engines / 10
+	d.gossip.withHubs.Store(true)
 	now := time.Now()
 	for i, t := range d.roster.All() {
 		if i%40 == 0 {
@@ -40,7 +40,7 @@
 	return d, &pkconfig.Service{ID: "models", Engine: m}
 }
 
-// BenchmarkChoose times the choice of a path by an entry, all that it asks of targets included.
+// BenchmarkChoose measures the choice of a path, including the reading of the state of targets.
 func BenchmarkChoose(b *testing.B) {
 	for _, engines := range []int{98, 300, 1000, 3000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -53,7 +53,7 @@
 	}
 }
 
-// BenchmarkShare times what an entry that is no hub does for each message to its hubs.
+// BenchmarkShare measures the work of an entry that is no hub for each message to its hubs.
 func BenchmarkShare(b *testing.B) {
 	for _, engines := range []int{98, 300, 1000, 3000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -61,7 +61,7 @@
 			for b.Loop() {
 				now := time.Now()
 				d.broadcast(now, d.message(now), true, true)
-				d.addLoads(now)
+				d.sumLoads(now)
 			}
 		})
 	}
--- a/pkedge/settings.go
+++ b/pkedge/settings.go
@@ -13,35 +13,36 @@
 	Entry      pkid.EntryID    `yaml:"entry"`
 	DataCenter pkid.DataCenter `yaml:"data_center"`
 	Listen     Listen          `yaml:"listen"`
-	// Seeds are peer addresses to try while no other entry is known.
+	// Seeds are the addresses of peers to contact while no other entry is known.
 	Seeds []string `yaml:"seeds"`
 	// Store is the address of the platform's store.
 	Store string `yaml:"store"`
-	// ProcessorShare is how much of a processor the VM has; among many entries those
-	// with the most pass on what the others tell.
+	// ProcessorShare is the share of a processor that the VM has. In large fleets the entries with
+	// the largest share become hubs.
 	ProcessorShare float64 `yaml:"processor_share"`
-	// MemoryMB bounds the process; beyond it the platform ends it.
+	// MemoryMB is the memory limit in megabytes, beyond which the platform ends the process.
 	MemoryMB int   `yaml:"memory_mb"`
 	Stop     Stop  `yaml:"stop"`
 	Retry    Retry `yaml:"retry"`
 }
 
-// Listen is the addresses that a daemon listens on.
+// Listen holds the addresses that a daemon listens on.
 type Listen struct {
 	Callers string `yaml:"callers"`
-	// Ready answers whether new callers should be sent here, and metrics.
+	// Ready serves readiness and metrics.
 	Ready string `yaml:"ready"`
-	// Peers takes connections of other entries; empty keeps to itself.
+	// Peers accepts connections of other entries; if empty, the daemon has no peers.
 	Peers string `yaml:"peers"`
 }
 
 // Stop bounds a graceful stop.
 type Stop struct {
-	// GraceS is how many seconds the platform waits before it kills.
+	// GraceS is the time in seconds after which the platform kills a stopping process.
 	GraceS float64 `yaml:"grace_s"`
 }
 
-// Retry is the operators' bound on repeated sends, over all entries.
+// Retry is the retry budget of the whole fleet: in each window of WindowS seconds, Ratio retries
+// per request and Slack further ones.
 type Retry struct {
 	Ratio   float64 `yaml:"ratio"`
 	WindowS float64 `yaml:"window_s"`
@@ -54,8 +55,7 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// ParseSettings reads and checks a settings file; the error lists every fault with
-// its line.
+// ParseSettings parses and validates a settings file. The error lists each fault with its line.
 func ParseSettings(file string, body []byte) (Settings, error) {
 	s, doc, err := pkyaml.Decode[Settings](file, body)
 	if err != nil {
--- a/pkedge/shortage.go
+++ b/pkedge/shortage.go
@@ -26,7 +26,7 @@
 func (d *Daemon) findShortage(now time.Time, s *pkconfig.Service, q pathQuery) shortage {
 	m := s.Engine
 	all := make([]shortage, m.Layers)
-	entries := d.entries(now)
+	entries := d.entryCount(now)
 	for _, t := range d.liveEngines(now, s.ID, m) {
 		_, room := layerCost(now, m, t, q, entries, d.crowding)
 		avoided := !q.allows(now, t)
@@ -60,8 +60,8 @@
 
 // logShortage logs why a request finds no path, at most once per shortageLogInterval.
 func (d *Daemon) logShortage(now time.Time, id pkid.RequestID, s *pkconfig.Service, q pathQuery) {
-	before := d.shortAt.Load()
-	if now.UnixNano()-before < int64(shortageLogInterval) || !d.shortAt.CompareAndSwap(before, now.UnixNano()) {
+	before := d.lastShortageLog.Load()
+	if now.UnixNano()-before < int64(shortageLogInterval) || !d.lastShortageLog.CompareAndSwap(before, now.UnixNano()) {
 		return
 	}
 	lack := d.findShortage(now, s, q)
--- a/pkedge/stream.go
+++ b/pkedge/stream.go
@@ -17,43 +17,43 @@
 )
 
 const (
-	// fullWait is how long a request waits for room in the pool: callers' objective
-	// is half a second, and a refusal in time lets them come back.
-	fullWait = 120 * time.Millisecond
-	// begunWait is the same for a stream whose answer has begun: its caller is lost
-	// by a refusal, and waits two seconds for the next event.
-	begunWait = 1500 * time.Millisecond
-	// fullPoll is how often a waiting request looks again.
-	fullPoll = 10 * time.Millisecond
-	// budgetPoll is how often a stream looks whether the retry budget allows a send again; it
-	// frees a tenth of its window at a time.
-	budgetPoll = 50 * time.Millisecond
-	// retryFull is when a caller that found the pool full may come back: answers
-	// end after two to four seconds, so a quarter of the pool is free by then.
-	retryFull = 2500 * time.Millisecond
+	// capacityTimeout is how long a new request waits for a path with capacity. Callers expect the
+	// first event within half a second, and an early refusal lets them retry.
+	capacityTimeout = 120 * time.Millisecond
+	// resumeTimeout is how long a stream whose answer has started waits for a path or for the retry
+	// budget: its answer would break off otherwise, and callers wait two seconds for an event.
+	resumeTimeout = 1500 * time.Millisecond
+	// capacityPollInterval is how often a waiting request searches for a path again.
+	capacityPollInterval = 10 * time.Millisecond
+	// budgetPollInterval is how often a waiting stream checks the retry budget, which frees a tenth
+	// of its window at a time.
+	budgetPollInterval = 50 * time.Millisecond
+	// retryAfterFull is the time to retry for callers that found the pool full: answers take two to
+	// four seconds, so some of the pool is free by then.
+	retryAfterFull = 2500 * time.Millisecond
 )
 
-// flowing is the state of a stream over its attempts.
-type flowing struct {
-	// last is the id of the last event that went to the caller.
-	last string
-	// events counts them.
+// streamState is the state of a stream across its attempts.
+type streamState struct {
+	// lastEventID is the id of the last event forwarded to the caller.
+	lastEventID string
+	// events counts the events forwarded to the caller.
 	events int
 }
 
-// errSilent cancels an attempt whose engines say nothing.
-var errSilent = errors.New("the path is silent")
+// errPathSilent cancels an attempt whose path sends no events.
+var errPathSilent = errors.New("path sends no events")
 
-// errMoved cancels an attempt whose stream goes on by another.
-var errMoved = errors.New("an engine of the path is dead or leaves")
+// errRerouted cancels an attempt whose stream continues by another one.
+var errRerouted = errors.New("an engine of the path is dead or draining")
 
-// stream serves a request whose answer is a stream, of engines or of a plain service.
+// stream serves a request for a stream of events, from engines or from a plain service.
 func (c *call) stream(ctx context.Context, s *pkconfig.Service) error {
 	verdict := pkverdict.NotRun
 	var cause error
-	var f flowing
+	var state streamState
 	for c.sends < maxSends && ctx.Err() == nil {
-		if !c.mayStart(verdict) && !c.waitForBudget(ctx, verdict) {
+		if !c.maySend(verdict) && !c.waitForBudget(ctx, verdict) {
 			break
 		}
 		p, err := c.waitForPath(ctx, s)
@@ -65,7 +65,7 @@
 			break
 		}
 		c.sends++
-		err = c.attempt(ctx, s, p, &f)
+		err = c.attempt(ctx, s, p, &state)
 		if err == nil {
 			return nil
 		}
@@ -73,43 +73,42 @@
 			return errCallerLeft
 		}
 		cause = err
-		verdict = pkverdict.Join(verdict, c.noteStream(p, err, &f))
+		verdict = pkverdict.Join(verdict, c.recordStreamFailure(p, err, &state))
 	}
-	if c.begun {
-		return fmt.Errorf("the stream broke off after %d events: %w", f.events, cause)
+	if c.headSent {
+		return fmt.Errorf("stream broke off after %d events: %w", state.events, cause)
 	}
-	if verdict == pkverdict.NotRun && ctx.Err() == nil && errors.Is(cause, errFull) {
-		return &rejection{status: http.StatusServiceUnavailable, retryAfter: retryFull, reason: "full"}
+	if verdict == pkverdict.NotRun && ctx.Err() == nil && errors.Is(cause, errNoCapacity) {
+		return &rejection{status: http.StatusServiceUnavailable, retryAfter: retryAfterFull, reason: "full"}
 	}
-	return c.ended(ctx, verdict, cause)
+	return c.finalError(ctx, verdict, cause)
 }
 
-func (c *call) noteStream(p targetPath, err error, f *flowing) pkverdict.Verdict {
+func (c *call) recordStreamFailure(p targetPath, err error, state *streamState) pkverdict.Verdict {
 	var failure *pkverdict.Error
 	if !errors.As(err, &failure) {
 		failure = &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: err}
 	}
-	c.count(failure)
+	c.countFailure(failure)
 	if len(p.hops) == 0 {
 		c.tried = append(c.tried, p.first().ID)
 	}
 	c.metrics.failed.WithLabelValues(failure.Verdict.String(), string(failure.Reason)).Inc()
-	c.log.Info("a send failed", "request_id", c.req.Ask.ID, "digest", c.digest.String(), "path", p.String(), "send", c.sends, "events", f.events,
+	c.log.Info("a send failed", "request_id", c.req.Ask.ID, "digest", c.digest.String(), "path", p.String(), "send", c.sends, "events", state.events,
 		"verdict", failure.Verdict.String(), "reason", string(failure.Reason), "error", failure.Err)
 	return failure.Verdict
 }
 
-// waitForBudget waits until the retry budget allows a further send of a stream whose answer
-// has begun: its caller is lost without it, and waits two seconds for the next event. Small
-// VMs among many have ten repeats in ten seconds; streams that had left an engine broke off
-// when the engine that they were sent to next refused them and the budget was spent.
+// waitForBudget waits until the retry budget allows another send of a stream whose answer has
+// started, and reports whether it does within resumeTimeout. Without another send the answer would
+// break off.
 func (c *call) waitForBudget(ctx context.Context, verdict pkverdict.Verdict) bool {
-	if !c.begun || !c.mayRepeat(verdict) {
+	if !c.headSent || !c.mayRetry(verdict) {
 		return false
 	}
-	until := time.Now().Add(begunWait)
-	for pktimer.Sleep(ctx, budgetPoll) {
-		if c.pay() {
+	until := time.Now().Add(resumeTimeout)
+	for pktimer.Sleep(ctx, budgetPollInterval) {
+		if c.chargeRetry() {
 			return true
 		}
 		if time.Now().After(until) {
@@ -119,25 +118,26 @@
 	return false
 }
 
-// errFull says that no path has room.
-var errFull = errors.New("no path has room")
+// errNoCapacity is returned if no path has room for a request.
+var errNoCapacity = errors.New("no path has room")
 
-// waitForPath chooses a path, and waits a little where none has room.
+// waitForPath returns a path for the request. If none has room it waits up to capacityTimeout, or
+// resumeTimeout if the answer has started.
 func (c *call) waitForPath(ctx context.Context, s *pkconfig.Service) (targetPath, error) {
-	tick := time.NewTicker(fullPoll)
+	tick := time.NewTicker(capacityPollInterval)
 	defer tick.Stop()
-	until := time.Now().Add(fullWait)
-	if c.begun {
-		until = time.Now().Add(begunWait)
+	until := time.Now().Add(capacityTimeout)
+	if c.headSent {
+		until = time.Now().Add(resumeTimeout)
 	}
 	for {
 		now := time.Now()
-		p, found := c.chooseRoute(now, s)
+		p, found := c.nextPath(now, s)
 		switch {
 		case found:
 			return p, nil
 		case now.After(until):
-			return c.lastRoute(now, s)
+			return c.lastResortPath(now, s)
 		}
 		select {
 		case <-ctx.Done():
@@ -147,11 +147,11 @@
 	}
 }
 
-// lastRoute returns a path over engines that have failed lately, where no other has room:
-// some answer may still come, and without it there is none for certain.
-func (c *call) lastRoute(now time.Time, s *pkconfig.Service) (targetPath, error) {
+// lastResortPath returns a path that may also use engines avoided for a recent failure. It is used
+// if no other path has room, since the request would be refused otherwise.
+func (c *call) lastResortPath(now time.Time, s *pkconfig.Service) (targetPath, error) {
 	if s.Engine == nil {
-		return targetPath{}, errFull
+		return targetPath{}, errNoCapacity
 	}
 	q := c.pathQuery(s)
 	q.lastResort = true
@@ -159,11 +159,11 @@
 		return p, nil
 	}
 	c.logShortage(now, c.req.Ask.ID, s, q)
-	return targetPath{}, errFull
+	return targetPath{}, errNoCapacity
 }
 
-// chooseRoute returns a path over engines, or the one target of a plain service.
-func (c *call) chooseRoute(now time.Time, s *pkconfig.Service) (targetPath, bool) {
+// nextPath returns a path over engines, or a path with the one target of a plain service.
+func (c *call) nextPath(now time.Time, s *pkconfig.Service) (targetPath, bool) {
 	if s.Engine != nil {
 		return c.findPath(now, s, c.pathQuery(s))
 	}
@@ -176,15 +176,15 @@
 
 // pathQuery returns the query for a path of the request.
 func (c *call) pathQuery(s *pkconfig.Service) pathQuery {
-	q := c.newPathQuery(s, c.size(s.Engine), c.sends)
+	q := c.newPathQuery(s, c.estimatedTokens(s.Engine), c.sends)
 	if pause := c.route.PauseObjective; q.maxCost > 0 && pause > 0 {
 		q.maxCost = maxTokenCost(pause, s.Engine)
 	}
 	return q
 }
 
-// size returns how many tokens a request will probably hold.
-func (c *call) size(m *pklayers.Model) float64 {
+// estimatedTokens returns the estimated length of the prompt and the answer in tokens.
+func (c *call) estimatedTokens(m *pklayers.Model) float64 {
 	if m == nil {
 		return 0
 	}
@@ -198,63 +198,63 @@
 	return float64(c.req.Ask.PromptTokens + answer)
 }
 
-// attempt sends the stream over one path and passes its events on.
-func (c *call) attempt(ctx context.Context, s *pkconfig.Service, p targetPath, f *flowing) (err error) {
+// attempt sends the request over one path and forwards the events of the answer.
+func (c *call) attempt(ctx context.Context, s *pkconfig.Service, p targetPath, state *streamState) (err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	c.path = p.String()
 	a := c.newAttempt(time.Now(), s, p, cancel)
 	defer func() {
 		a.recordFailure(time.Now(), err)
-		c.mended += a.end()
-		c.paid = a.charged.Load()
+		c.reroutes += a.end()
+		c.charged = a.charged.Load()
 	}()
 	watch := c.startWatchdog(ctx, a)
 	defer watch.stop()
-	send := pkforward.Send{Left: c.deadline.Sub(a.began), Target: p.first().ID, Account: c.account, Path: p.hops, LastEvent: f.last}
+	send := pkforward.Send{Left: c.deadline.Sub(a.began), Target: p.first().ID, Account: c.account, Path: p.hops, LastEvent: state.lastEventID}
 	answer, err := c.Sender.Do(ctx, p.first().Addr, &c.req, send)
 	if err != nil {
-		c.blamePath(ctx, a, answer, err)
+		c.recordPathFailure(ctx, a, answer, err)
 		return err
 	}
 	defer answer.Close()
 	if answer.Status/100 != 2 {
-		body, err := answer.ReadWhole(wholeLimit)
+		body, err := answer.ReadWhole(maxBufferedAnswer)
 		if err != nil {
 			return err
 		}
-		if c.begun || (answer.Status >= http.StatusInternalServerError && a.canRetry) {
-			return &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: errOwnFailure}
+		if c.headSent || (answer.Status >= http.StatusInternalServerError && a.canRetry) {
+			return &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: errTargetFailure}
 		}
-		return c.pass(answer, body)
+		return c.forward(answer, body)
 	}
 	if !answer.Sealed || answer.Header.Get("Content-Encoding") != "" {
-		return &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: errSpoiled}
+		return &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: errAlteredAnswer}
 	}
-	return c.passEvents(ctx, a, answer, f, watch)
+	return c.forwardEvents(ctx, a, answer, state, watch)
 }
 
-// passEvents passes whole events on as they come.
-func (c *call) passEvents(ctx context.Context, a *attempt, answer *pkforward.Answer, f *flowing, watch *watchdog) error {
+// forwardEvents forwards complete events to the caller as they arrive.
+func (c *call) forwardEvents(ctx context.Context, a *attempt, answer *pkforward.Answer, state *streamState, watch *watchdog) error {
 	events := pkforward.NewEvents(answer.Body)
 	control := http.NewResponseController(c.w)
 	for {
 		ev, err := events.Next()
 		if errors.Is(err, io.EOF) {
-			return c.endStream(answer, f)
+			return c.endStream(answer, state)
 		}
 		if err != nil {
-			if cause := context.Cause(ctx); errors.Is(cause, errSilent) || errors.Is(cause, errMoved) {
+			if cause := context.Cause(ctx); errors.Is(cause, errPathSilent) || errors.Is(cause, errRerouted) {
 				err = cause
 			}
 			return &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: err}
 		}
-		if !c.begun {
-			c.begun = true
+		if !c.headSent {
+			c.headSent = true
 			c.firstEvent = time.Since(c.began)
 			c.metrics.firstEvent.Observe(c.firstEvent.Seconds())
-			// Not before the first event: a head that is taken over and then given
-			// up would put one target's signature on the router's own failure.
+			// Headers are copied only now: if the attempt failed before its first event, they
+			// would put the target's signature on an error answer of the router.
 			pkforward.Forward(c.w.Header(), answer.Header)
 			delete(c.w.Header(), "Content-Length")
 			c.w.WriteHeader(answer.Status)
@@ -263,15 +263,15 @@
 			return errCallerLeft
 		}
 		if ev.ID != "" {
-			f.last = ev.ID
+			state.lastEventID = ev.ID
 		}
-		f.events++
+		state.events++
 		c.events++
 		now := time.Now()
 		if c.events > 1 {
-			c.longest = max(c.longest, now.Sub(c.lastEvent))
+			c.longestPause = max(c.longestPause, now.Sub(c.lastEventAt))
 		}
-		c.lastEvent = now
+		c.lastEventAt = now
 		if !events.Ready() {
 			if err := control.Flush(); err != nil {
 				return errCallerLeft
@@ -284,20 +284,20 @@
 	}
 }
 
-// endStream ends the caller's answer as whole. An answer without a length ends
-// like one that broke off, and its last event decides.
-func (c *call) endStream(answer *pkforward.Answer, f *flowing) error {
-	if f.events == 0 {
+// endStream ends the caller's answer as complete. An answer without any event counts as broken off.
+func (c *call) endStream(answer *pkforward.Answer, state *streamState) error {
+	if state.events == 0 {
 		return &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: io.ErrUnexpectedEOF}
 	}
 	c.recordSuccess(time.Now())
 	return nil
 }
 
-// blamePath passes over what was at fault on a path.
-func (c *call) blamePath(ctx context.Context, a *attempt, answer *pkforward.Answer, err error) {
+// recordPathFailure avoids the target that caused a failed send: the one named in the answer, or
+// the first of the path.
+func (c *call) recordPathFailure(ctx context.Context, a *attempt, answer *pkforward.Answer, err error) {
 	now := time.Now()
-	if c.r.Context().Err() != nil || errors.Is(context.Cause(ctx), errSilent) || errors.Is(context.Cause(ctx), errMoved) {
+	if c.r.Context().Err() != nil || errors.Is(context.Cause(ctx), errPathSilent) || errors.Is(context.Cause(ctx), errRerouted) {
 		return
 	}
 	fault := a.currentPath().first()
@@ -312,9 +312,9 @@
 	if answer != nil && answer.Status == http.StatusMisdirectedRequest {
 		until = c.suspectMisplaced(now, fault)
 	} else {
-		until = c.failed(now, fault, err)
+		until = c.avoidFailed(now, fault, err)
 		c.queueRefusedEngine(now, a, fault, answer)
 	}
-	c.log.Info("a target is passed over", "target", fault.ID, "request_id", c.req.Ask.ID, "path", a.currentPath().String(),
+	c.log.Info("target avoided after a failed send", "target", fault.ID, "request_id", c.req.Ask.ID, "path", a.currentPath().String(),
 		"for_ms", until.Sub(now).Milliseconds(), "error", err)
 }
--- a/pkedge/stream_test.go
+++ b/pkedge/stream_test.go
@@ -14,14 +14,13 @@
 	"peridotknot.example/platform/platformtest"
 )
 
-// The first engine of a path misbehaves while a stream is answered. The caller must
-// see each event once and in order, to the last, or an answer that is seen to have
-// failed.
+// Guards against lost, repeated or reordered events when the first engine of a path misbehaves: the
+// caller must get each event once and in order, or an answer that shows the failure.
 func TestAMisbehavingEngine(t *testing.T) {
 	t.Parallel()
-	w, _ := pool(t)
+	w, _ := newPool(t)
 	n := start(t, w, "one")
-	n.streams(t)
+	n.waitForStream(t)
 	cases := []struct {
 		behavior platformtest.Behavior
 		runs     int
@@ -53,41 +52,39 @@
 		got := n.do(t, http.MethodPost, "/talk/1", "talk-heads", platformtest.Key, 30)
 		assert.NilError(t, got.err)
 		assert.Equal(t, got.status, http.StatusBadGateway)
-		assert.Equal(t, got.header.Get(platformtest.SealHeader), "", "a failure of the router's own bears no signature")
+		assert.Equal(t, got.header.Get(platformtest.SealHeader), "", "an error answer of the router is not signed")
 	})
 	t.Run("both attempts are cut", func(t *testing.T) {
 		w.Next(platformtest.Cut, platformtest.Cut)
 		got := n.do(t, http.MethodPost, "/talk/1", "talk-twice", platformtest.Key, 30)
-		assert.Assert(t, got.err != nil, "a cut answer must look cut")
+		assert.Assert(t, got.err != nil, "an incomplete answer must end with an error")
 		assert.Assert(t, strings.HasPrefix(events(30), got.body), got.body)
 	})
 }
 
-// An engine in the middle of paths dies without a word while streams pass through
-// it. Their first engines only wait. The streams must go on elsewhere, without a
-// gap or a repeated event.
-func TestStreamsOutliveADeadEngine(t *testing.T) {
+// Guards against streams that wait for a dead engine in the middle of their paths: they must
+// continue elsewhere without a lost or repeated event.
+func TestStreamsSurviveADeadEngine(t *testing.T) {
 	t.Parallel()
-	w, engines := pool(t)
+	w, engines := newPool(t)
 	n := start(t, w, "one")
-	n.streams(t)
+	n.waitForStream(t)
 	const streams, length = 6, 400
 	answers, _ := n.startStreams(t, w, streams, length)
 	time.Sleep(200 * time.Millisecond)
 	engines["i-1"].Kill()
-	allWhole(t, answers, streams, length)
+	assertComplete(t, answers, streams, length)
 }
 
-// An engine in the middle of a path says that it leaves, and no other has room for
-// its layers. It serves on for seconds. A stream that is taken off it at once has
-// nowhere to go and breaks off; it must stay.
-func TestStreamsStayWithALeavingEngineWhereNoOtherHasRoom(t *testing.T) {
+// Guards against breaking off a stream by moving it off a draining engine, which keeps serving for
+// seconds, while no other engine has room.
+func TestStreamsStayOnADrainingEngineWithoutAlternative(t *testing.T) {
 	t.Parallel()
 	w := platformtest.NewWorld()
 	t.Cleanup(w.Close)
 	engines := []*platformtest.Replica{w.Add(platformtest.Pool, "i-0", "a"), w.Add(platformtest.Pool, "i-1", "a")}
 	n := start(t, w, "one")
-	n.streams(t)
+	n.waitForStream(t)
 	const length = 500
 	answers := make(chan reply, 1)
 	go func() { answers <- n.do(t, http.MethodPost, "/talk/1", "long", platformtest.Key, length) }()
@@ -102,45 +99,43 @@
 	assert.Equal(t, got.body, events(length))
 }
 
-// An engine dies while no other engine has room for its streams, and orders for another
-// path are refused. Room comes a second later. The streams must go on then: tried only at
-// once, they stood still until their callers' time was up.
-func TestStreamsWaitForRoomBesideADeadEngine(t *testing.T) {
+// Guards against streams that stall until their deadline because they look for another path only
+// once after an engine has died: they must continue when capacity becomes free a second later.
+func TestStreamsWaitForCapacityAfterAnEngineDied(t *testing.T) {
 	t.Parallel()
 	w := platformtest.NewWorld()
 	t.Cleanup(w.Close)
 	w.Add(platformtest.Pool, "i-0", "a")
 	second := w.Add(platformtest.Pool, "i-1", "a")
 	n := start(t, w, "one")
-	n.streams(t)
+	n.waitForStream(t)
 	const streams, length = 3, 600
 	const firsts = "peridotknot_first_event_seconds_count"
 	before, err := strconv.Atoi(n.metric(t, firsts))
 	assert.NilError(t, err)
 	answers, _ := n.startStreams(t, w, streams, length)
-	// One that has no event yet may be answered that its target was lost.
-	eventually(t, "a first event of each", func() bool { return n.metric(t, firsts) == strconv.Itoa(before+streams) })
+	// A stream without an event may still be answered with target_lost.
+	eventually(t, "the first event of each stream", func() bool { return n.metric(t, firsts) == strconv.Itoa(before+streams) })
 	second.Kill()
 	time.Sleep(time.Second)
 	for i := 2; i < 6; i++ {
 		w.Add(platformtest.Pool, fmt.Sprintf("i-%d", i), "a")
 	}
-	allWhole(t, answers, streams, length)
+	assertComplete(t, answers, streams, length)
 }
 
-// Engines leave or die while the retry budget is spent. A stream that is taken off its
-// path then has no other send left, and breaks off; those on leaving engines must stay,
-// those on dead ones take another path in place or go on.
-func TestStreamsKeepTheirPathWhereTheRetryBudgetIsSpent(t *testing.T) {
+// Guards against breaking off streams on draining engines by moving them while the retry budget is
+// spent, when they cannot be sent again.
+func TestStreamsKeepTheirPathWhileTheRetryBudgetIsSpent(t *testing.T) {
 	t.Parallel()
-	w, engines := pool(t)
+	w, engines := newPool(t)
 	n := startWith(t, pkedge.Settings{
 		Entry: "one", DataCenter: "a", Store: w.Store.Addr(),
 		Listen: pkedge.Listen{Callers: "127.0.0.1:0", Ready: "127.0.0.1:0"},
 		Stop:   pkedge.Stop{GraceS: 4},
 		Retry:  pkedge.Retry{WindowS: 10},
 	})
-	n.streams(t)
+	n.waitForStream(t)
 	const streams, length = 6, 500
 	answers, first := n.startStreams(t, w, streams, length)
 	spared := ""
@@ -153,12 +148,12 @@
 			e.Leave()
 		}
 	}
-	allWhole(t, answers, streams, length)
+	assertComplete(t, answers, streams, length)
 }
 
-// A stream comes from a plain service, and another one may not be resumed. Targets
-// misbehave as above. The first must be whole; the second must run once at most and a
-// cut answer look cut.
+// Guards against incomplete or repeated streams of plain services whose targets misbehave. A
+// resumable stream must be complete; any other must run at most once and show when its answer is
+// incomplete.
 func TestStreamsOfPlainServices(t *testing.T) {
 	t.Parallel()
 	w := platformtest.NewWorld()
@@ -200,9 +195,9 @@
 	}
 }
 
-// Two pools of engines are new at once. Each must be laid out; counted as one, the pools
-// look as if engines came and went at every look, and neither ever is.
-func TestTwoPoolsAreLaidOut(t *testing.T) {
+// Guards against mixing up the engines of two new pools, which would look as if engines came and
+// went all the time, so that neither pool is given layers.
+func TestTwoNewPoolsAreGivenLayers(t *testing.T) {
 	t.Parallel()
 	w := platformtest.NewWorld()
 	t.Cleanup(w.Close)
@@ -218,7 +213,7 @@
 		c["services"] = append(c["services"].([]any), map[string]any{"name": second, "engine": platformtest.Engine()})
 	})
 	n := start(t, w, "one")
-	n.streams(t)
+	n.waitForStream(t)
 	i := 0
 	eventually(t, "a path in the second pool", func() bool {
 		i++
--- a/pkedge/suspect.go
+++ b/pkedge/suspect.go
@@ -119,19 +119,19 @@
 		s.fault = faultGone
 	}
 	d.applySuspicion(t, s)
-	d.sharing.announceSuspicion(t.ID, s)
+	d.gossip.announceSuspicion(t.ID, s)
 }
 
 // suspectMisplaced avoids a target that refused a part of a path because it does not hold those
 // layers, and tells the other entries. The suspicion holds until the target's list entry changes:
 // it has restarted empty, and the list shows that only after the target has reached the store.
 func (d *Daemon) suspectMisplaced(now time.Time, t *pkreplica.Target) time.Time {
-	s := suspicion{until: now.Add(misdirectedPause), fault: faultMisplaced, born: t.Born, entry: d.roster.Revision(t.ID)}
+	s := suspicion{until: now.Add(misdirectedTTL), fault: faultMisplaced, born: t.Born, entry: d.roster.Revision(t.ID)}
 	if latest, found := d.roster.Target(t.ID); !found || latest != t {
 		return now // the list entry has changed since the target was chosen
 	}
 	d.applySuspicion(t, s)
-	d.sharing.announceSuspicion(t.ID, s)
+	d.gossip.announceSuspicion(t.ID, s)
 	return s.until
 }
 
@@ -150,7 +150,7 @@
 // announceSuspicion tells the other entries of a suspicion at once if it is new. Suspicions
 // received from other entries are forwarded in the same way; one that comes back is not new and
 // ends there.
-func (s *sharing) announceSuspicion(t pkid.TargetID, next suspicion) {
+func (s *gossip) announceSuspicion(t pkid.TargetID, next suspicion) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.suspects[t]
@@ -184,8 +184,8 @@
 		}
 		d.applySuspicion(t, s)
 	}
-	if d.sharing.withHubs.Load() {
-		d.sharing.announceSuspicion(report.Target, s)
+	if d.gossip.withHubs.Load() {
+		d.gossip.announceSuspicion(report.Target, s)
 	}
 }
 
--- a/pkedge/target_test.go
+++ b/pkedge/target_test.go
@@ -56,7 +56,7 @@
 					method, wanted = http.MethodPost, rows[b].once
 				}
 				w.Next(b)
-				wait := patience
+				wait := waitTimeout
 				if b == platformtest.Silent {
 					wait = silentTimeout
 				}
--- a/pkedge/watch.go
+++ b/pkedge/watch.go
@@ -57,7 +57,7 @@
 func (d *Daemon) watchedEngines(now time.Time) map[process]*pkreplica.Target {
 	out := map[process]*pkreplica.Target{}
 	table := d.book.Table()
-	if table == nil || !d.sharing.first.Load() {
+	if table == nil || !d.gossip.first.Load() {
 		return out
 	}
 	for i := range table.Services {
--- a/pkedge/watch_test.go
+++ b/pkedge/watch_test.go
@@ -54,7 +54,7 @@
 		time.Sleep(time.Nanosecond)
 		synctest.Wait()
 		assert.Assert(t, one.IsGone(time.Now()))
-		assert.Equal(t, len(d.sharing.suspects), 1)
+		assert.Equal(t, len(d.gossip.suspects), 1)
 		cancel()
 		<-ended
 	})
--- a/pkedge/watchdog.go
+++ b/pkedge/watchdog.go
@@ -53,7 +53,7 @@
 			case <-w.fired:
 			}
 			if (c.checkStalled(ctx, a) || (checks >= maxSilentChecks && a.eventCount() == 0)) && a.canRetry && c.reserveRetry(a, reasonDead) {
-				a.cancel(errSilent)
+				a.cancel(errPathSilent)
 				return
 			}
 			w.timer.Reset(nextEventTimeout)
