--- a/pkentry/admin.go
+++ b/pkentry/admin.go
@@ -14,10 +14,10 @@
 	"peridotknot.example/pkmanifest"
 )
 
-// PathStatus is where an entry tells operators about itself.
+// PathStatus is the path of the status endpoint on the admin address.
 const PathStatus = "/status"
 
-// Status is what an entry tells operators about itself.
+// Status is the response of the status endpoint.
 type Status struct {
 	Entry      pkid.EntryID      `json:"entry"`
 	DataCenter pkid.DataCenter   `json:"data_center"`
@@ -29,16 +29,16 @@
 	StoreOK    bool              `json:"store_ok"`
 	Alarm      string            `json:"alarm,omitempty"`
 	Neighbors  []pkid.EntryID    `json:"neighbors"`
-	// SentBytes and ReceivedBytes count control traffic with other entries.
+	// SentBytes and ReceivedBytes count the traffic with peers.
 	SentBytes     int64 `json:"sent_bytes"`
 	ReceivedBytes int64 `json:"received_bytes"`
 	StoreCalls    int64 `json:"store_calls"`
-	// Owns are the pools whose engines this entry gives orders to.
+	// Owns lists the pools whose ownership lease this entry holds.
 	Owns  []pkid.PoolID `json:"owns,omitempty"`
 	Pools []PoolStatus  `json:"pools"`
 }
 
-// PoolStatus is one pool as an entry sees it.
+// PoolStatus is an entry's view of a pool.
 type PoolStatus struct {
 	Pool     pkid.PoolID `json:"pool"`
 	Targets  int         `json:"targets"`
@@ -63,7 +63,7 @@
 	return mux
 }
 
-// ready says whether callers should be sent here, and if not, why.
+// ready reports whether the entry should receive requests, and the reason if not.
 func (e *Entry) ready() (bool, string) {
 	switch {
 	case e.stopping.Load():
@@ -72,7 +72,7 @@
 		return false, "no manifest: neither the store nor a peer gave one"
 	case len(e.targets.All()) == 0:
 		return false, "no targets: the VM list was not read yet"
-	case !e.warm.Load():
+	case !e.loadsPolled.Load():
 		return false, "the targets were not asked for their loads yet"
 	default:
 		return true, ""
@@ -80,9 +80,9 @@
 }
 
 func (e *Entry) readyz(w http.ResponseWriter, _ *http.Request) {
-	ok, why := e.ready()
+	ok, reason := e.ready()
 	if !ok {
-		http.Error(w, why, http.StatusServiceUnavailable)
+		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
@@ -91,11 +91,11 @@
 func (e *Entry) status(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(e.Status(time.Now())); err != nil {
-		e.log.Debug("status was not taken", "error", err)
+		e.log.Debug("failed to write status response", "error", err)
 	}
 }
 
-// Revision returns the revision of the manifest in force; zero is none.
+// Revision returns the revision of the manifest in force, or zero if there is none.
 func (e *Entry) Revision() pkid.Revision {
 	if view := e.view.Load(); view != nil {
 		return view.Revision
@@ -103,7 +103,7 @@
 	return 0
 }
 
-// Status returns what the entry tells operators about itself.
+// Status returns a snapshot of the entry's state at now.
 func (e *Entry) Status(now time.Time) Status {
 	s := Status{Entry: e.settings.Entry, DataCenter: e.settings.DataCenter, Pools: []PoolStatus{}}
 	s.Ready, s.Why = e.ready()
@@ -118,11 +118,11 @@
 	if twins := e.peers.table.Twins(now); len(twins) > 0 {
 		s.Alarm = fmt.Sprintf("two VMs have the entry id %s; give one another id in its settings", twins[0].Entry)
 	}
-	e.follow.mu.Lock()
-	s.StoreOK = e.follow.storeOK
-	s.Alarm = cmp.Or(e.follow.alarm, s.Alarm)
-	since := e.follow.since
-	e.follow.mu.Unlock()
+	e.manifest.mu.Lock()
+	s.StoreOK = e.manifest.storeOK
+	s.Alarm = cmp.Or(e.manifest.alarm, s.Alarm)
+	since := e.manifest.since
+	e.manifest.mu.Unlock()
 	view := e.view.Load()
 	if view == nil {
 		return s
--- a/pkentry/callers.go
+++ b/pkentry/callers.go
@@ -21,27 +21,27 @@
 )
 
 const (
-	servicePrefix = "/services/"
-	maxGivenID    = 128
-	// comeBack is when to come back to an entry that is not ready.
-	comeBack = time.Second
+	servicePrefix   = "/services/"
+	maxRequestIDLen = 128
+	// defaultRetryAfter is the Retry-After of responses to requests that were not run.
+	defaultRetryAfter = time.Second
 )
 
 var w3c = propagation.TraceContext{}
 
 func (e *Entry) callersHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/models", e.called(e.listModels))
-	mux.HandleFunc("POST /v1/chat/completions", e.called(e.chat))
-	mux.HandleFunc("POST /v1/completions", e.called(e.completion))
-	mux.HandleFunc(servicePrefix+"{service}/", e.called(e.callService))
-	mux.HandleFunc("/", e.called(func(c *call) error {
+	mux.HandleFunc("GET /v1/models", e.handle(e.listModels))
+	mux.HandleFunc("POST /v1/chat/completions", e.handle(e.chat))
+	mux.HandleFunc("POST /v1/completions", e.handle(e.completion))
+	mux.HandleFunc(servicePrefix+"{service}/", e.handle(e.callService))
+	mux.HandleFunc("/", e.handle(func(c *call) error {
 		return c.invalid(http.StatusNotFound, "not_found", "there is nothing at this path")
 	}))
 	return mux
 }
 
-// call is one caller's request on its way through the entry.
+// call is a client's request while the entry handles it.
 type call struct {
 	*Entry
 	w       http.ResponseWriter
@@ -51,21 +51,22 @@
 	view    *pkmanifest.View
 	account *pkmanifest.Account
 	span    trace.Span
-	// key is for logs and metrics: model:id or service:id.
-	key string
+	// resource is what the request addresses, for logs and metrics: "models:", "model:ID" or
+	// "service:ID".
+	resource string
 }
 
-// called wraps a handler with what every call needs: an id, a span, a manifest
-// and an account. An error from the handler is written as the answer.
-func (e *Entry) called(do func(*call) error) http.HandlerFunc {
+// handle wraps do with the steps common to all calls: it assigns a request id, starts a span, takes a
+// manifest snapshot and authenticates the account. An error from do is written as the response.
+func (e *Entry) handle(do func(*call) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		ctx := w3c.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 		ctx, span := e.tracer.Start(ctx, "call", trace.WithSpanKind(trace.SpanKindServer))
 		defer span.End()
 		c := &call{Entry: e, w: w, r: r.WithContext(ctx), id: pkid.RequestID(ulid.Make().String()), began: time.Now(), span: span}
-		w.Header().Set(pkopenai.HeaderRequestID, c.givenID())
-		span.SetAttributes(attribute.String("request_id", c.givenID()))
-		err := c.identify()
+		w.Header().Set(pkopenai.HeaderRequestID, c.requestID())
+		span.SetAttributes(attribute.String("request_id", c.requestID()))
+		err := c.authenticate()
 		if err == nil {
 			err = do(c)
 		}
@@ -73,10 +74,11 @@
 	}
 }
 
-// givenID returns the caller's own request id if it gave a decent one.
-func (c *call) givenID() string {
+// requestID returns the request id from the client's header if it is valid, or else the generated
+// one.
+func (c *call) requestID() string {
 	given := c.r.Header.Get(pkopenai.HeaderRequestID)
-	if given == "" || len(given) > maxGivenID || strings.ContainsFunc(given, notPrintable) {
+	if given == "" || len(given) > maxRequestIDLen || strings.ContainsFunc(given, notPrintable) {
 		return string(c.id)
 	}
 	return given
@@ -84,29 +86,29 @@
 
 func notPrintable(r rune) bool { return r <= ' ' || r > '~' }
 
-func (c *call) identify() error {
+func (c *call) authenticate() error {
 	if c.refusing.Load() {
 		c.w.Header().Set("Connection", "close")
-		return &pkopenai.Failure{Status: http.StatusServiceUnavailable, Type: pkopenai.TypeServer, Code: "stopping", Message: "this entry is stopping", Verdict: pkverdict.NotRun, RetryAfter: comeBack}
+		return &pkopenai.Failure{Status: http.StatusServiceUnavailable, Type: pkopenai.TypeServer, Code: "stopping", Message: "this entry is stopping", Verdict: pkverdict.NotRun, RetryAfter: defaultRetryAfter}
 	}
 	c.view = c.Entry.view.Load()
 	if c.view == nil {
-		return &pkopenai.Failure{Status: http.StatusServiceUnavailable, Type: pkopenai.TypeServer, Code: "no_manifest", Message: "this entry has no manifest yet", Verdict: pkverdict.NotRun, RetryAfter: comeBack}
+		return &pkopenai.Failure{Status: http.StatusServiceUnavailable, Type: pkopenai.TypeServer, Code: "no_manifest", Message: "this entry has no manifest yet", Verdict: pkverdict.NotRun, RetryAfter: defaultRetryAfter}
 	}
 	key, found := strings.CutPrefix(c.r.Header.Get("Authorization"), "Bearer ")
 	if !found {
-		return c.denied("an API key is missing: send it as Authorization: Bearer KEY")
+		return c.unauthorized("an API key is missing: send it as Authorization: Bearer KEY")
 	}
 	account, found := c.view.Account(key)
 	if !found {
-		return c.denied("the API key is not known")
+		return c.unauthorized("the API key is not known")
 	}
 	c.account = account
 	c.span.SetAttributes(attribute.String("account", string(account.ID)))
 	return nil
 }
 
-func (c *call) denied(text string) error {
+func (c *call) unauthorized(text string) error {
 	return &pkopenai.Failure{Status: http.StatusUnauthorized, Type: pkopenai.TypeAuth, Code: "invalid_api_key", Message: text, Verdict: pkverdict.NotRun}
 }
 
@@ -114,7 +116,7 @@
 	return &pkopenai.Failure{Status: status, Type: pkopenai.TypeInvalid, Code: code, Message: text, Verdict: pkverdict.NotRun}
 }
 
-// deadline returns when the call must be answered.
+// deadline returns the deadline of the call, from the timeout header within the manifest's limits.
 func (c *call) deadline() (time.Time, error) {
 	var ask time.Duration
 	if text := c.r.Header.Get(pkopenai.HeaderDeadline); text != "" {
@@ -127,8 +129,8 @@
 	return c.began.Add(c.view.Manifest.Limits.Deadline(ask)), nil
 }
 
-// admit waits until the pool's gate lets the call in. The returned function
-// gives the place back; it takes the tokens that were used.
+// admit waits for admission by the pool's gate. The returned function releases the slot and reports
+// the number of tokens used.
 func (c *call) admit(ctx context.Context, g *gate, ask pkadmit.Ask) (func(pkid.Tokens), error) {
 	_, span := c.tracer.Start(ctx, "admission")
 	defer span.End()
@@ -160,7 +162,7 @@
 	}
 }
 
-// failure turns any error of a call into what the caller gets.
+// failure maps an error of a call to the response for the client.
 func failure(err error) pkopenai.Failure {
 	var f *pkopenai.Failure
 	if errors.As(err, &f) {
@@ -170,7 +172,7 @@
 	if !errors.As(err, &v) {
 		return pkopenai.Failure{Status: http.StatusInternalServerError, Type: pkopenai.TypeServer, Code: "internal", Message: "the entry failed", Verdict: pkverdict.MayHaveRun}
 	}
-	out := pkopenai.Failure{Status: http.StatusBadGateway, Type: pkopenai.TypeServer, Code: string(v.Reason), Message: text[v.Reason], Verdict: v.Verdict}
+	out := pkopenai.Failure{Status: http.StatusBadGateway, Type: pkopenai.TypeServer, Code: string(v.Reason), Message: reasonMessages[v.Reason], Verdict: v.Verdict}
 	switch v.Reason {
 	case pkverdict.ReasonDeadline:
 		out.Status = http.StatusGatewayTimeout
@@ -179,13 +181,14 @@
 	case pkverdict.ReasonOverload, pkverdict.ReasonTargetLost, pkverdict.ReasonUnreachable, pkverdict.ReasonRefused, pkverdict.ReasonCanceled:
 	}
 	if v.Verdict == pkverdict.NotRun {
-		out.RetryAfter = comeBack
+		out.RetryAfter = defaultRetryAfter
 	}
 	return out
 }
 
-// text is what callers read. Causes stay in the log: they name addresses.
-var text = map[pkverdict.Reason]string{
+// reasonMessages are the messages for clients. The underlying errors are only logged, since they
+// contain internal addresses.
+var reasonMessages = map[pkverdict.Reason]string{
 	pkverdict.ReasonDeadline:    "the request was not done by its deadline",
 	pkverdict.ReasonNoRoute:     "no usable targets hold what the request needs",
 	pkverdict.ReasonTargetLost:  "the targets of the request were lost",
@@ -196,27 +199,27 @@
 	pkverdict.ReasonQuarantined: "targets that ran this request have ended, and it is not sent to others for some minutes",
 }
 
-// finish writes the answer to a failed call, and logs and counts every call.
+// finish writes the error response of a failed call, and logs and counts every call.
 func (c *call) finish(err error) {
 	took := time.Since(c.began)
 	verdict := pkverdict.Ran
 	if err != nil {
 		f := failure(err)
-		f.RequestID = pkid.RequestID(c.givenID())
+		f.RequestID = pkid.RequestID(c.requestID())
 		verdict = f.Verdict
 		c.span.SetStatus(codes.Error, f.Code)
-		if werr := c.answerFailure(err, f); werr != nil {
-			c.log.Debug("the caller did not take the answer", "request_id", c.givenID(), "error", werr)
+		if werr := c.writeFailure(err, f); werr != nil {
+			c.log.Debug("failed to write error response", "request_id", c.requestID(), "error", werr)
 		}
 	}
 	c.metrics.requests.WithLabelValues(c.kind(), verdict.String()).Inc()
-	c.log.Debug("call", "request_id", c.givenID(), "trace_id", c.span.SpanContext().TraceID().String(),
-		"what", c.key, "verdict", verdict, "took", took, "error", loggable(err))
+	c.log.Debug("call", "request_id", c.requestID(), "trace_id", c.span.SpanContext().TraceID().String(),
+		"what", c.resource, "verdict", verdict, "took", took, "error", loggableError(err))
 }
 
-// loggable returns what may be logged of an error. What callers are told can
-// quote what they sent; its code says enough for a log.
-func loggable(err error) any {
+// loggableError returns the loggable form of an error: only the code of a client-facing failure,
+// because its message can quote request data.
+func loggableError(err error) any {
 	var f *pkopenai.Failure
 	if errors.As(err, &f) {
 		return f.Code
@@ -224,18 +227,19 @@
 	return err
 }
 
-// errBegun marks a failure after the answer began; the handler said so itself.
-var errBegun = errors.New("the answer had begun")
+// errResponseStarted marks an error after the response was started; the handler has already
+// reported it to the client where the protocol allows.
+var errResponseStarted = errors.New("response already started")
 
-func (c *call) answerFailure(err error, f pkopenai.Failure) error {
-	if errors.Is(err, errBegun) {
+func (c *call) writeFailure(err error, f pkopenai.Failure) error {
+	if errors.Is(err, errResponseStarted) {
 		return nil
 	}
 	return f.Write(c.w)
 }
 
 func (c *call) kind() string {
-	kind, _, _ := strings.Cut(c.key, ":")
+	kind, _, _ := strings.Cut(c.resource, ":")
 	if kind == "" {
 		return "none"
 	}
--- a/pkentry/chat.go
+++ b/pkentry/chat.go
@@ -24,11 +24,11 @@
 	"peridotknot.example/pktrace"
 )
 
-// bodyTimeout bounds how long a caller may take to send a model request.
+// bodyTimeout bounds the time to read the body of a model request.
 const bodyTimeout = 10 * time.Second
 
 func (e *Entry) listModels(c *call) error {
-	c.key = "models:"
+	c.resource = "models:"
 	return pkopenai.WriteModels(c.w, c.account.Models)
 }
 
@@ -36,9 +36,9 @@
 
 func (e *Entry) completion(c *call) error { return c.generate(pkopenai.Completion) }
 
-// generate serves a model request.
+// generate handles a model request.
 func (c *call) generate(endpoint pkopenai.Endpoint) error {
-	c.key = "model:"
+	c.resource = "model:"
 	deadline, err := c.deadline()
 	if err != nil {
 		return err
@@ -51,13 +51,13 @@
 	if !found {
 		return c.invalid(http.StatusNotFound, "model_not_found", fmt.Sprintf("model %q does not exist or is not yours to use", req.Model))
 	}
-	c.key = "model:" + string(m.ID)
+	c.resource = "model:" + string(m.ID)
 	prompt := req.Text(endpoint)
 	limits := c.view.Manifest.Limits
 	run := pkanswer.Request{
 		ID:           c.id,
 		Digest:       c.digest(req, prompt),
-		Want:         c.wantNow(m, adapter),
+		Want:         c.chooseWant(m, adapter),
 		Prompt:       prompt,
 		PromptTokens: pkopenai.CountTokens(prompt),
 		MaxTokens:    min(req.Max(limits.MaxOutputTokens), limits.MaxOutputTokens),
@@ -70,10 +70,11 @@
 	return c.run(run, req, endpoint)
 }
 
-// digest tells whether a model request is the same as another but for its id.
+// digest returns a digest of a model request without its id, by which the quarantine recognizes a
+// request that is sent again.
 func (c *call) digest(req pkopenai.Request, prompt string) pkquarantine.Digest {
-	same := pkquarantine.Identity{Account: c.account.ID, Method: c.r.Method, URI: c.r.URL.Path, Body: []byte(req.Model + "\n" + prompt)}
-	return same.Digest()
+	identity := pkquarantine.Identity{Account: c.account.ID, Method: c.r.Method, URI: c.r.URL.Path, Body: []byte(req.Model + "\n" + prompt)}
+	return identity.Digest()
 }
 
 func (c *call) decode(endpoint pkopenai.Endpoint) (pkopenai.Request, error) {
@@ -83,7 +84,7 @@
 		return pkopenai.Request{}, c.invalid(http.StatusRequestEntityTooLarge, "body_too_large", fmt.Sprintf("the body may have %d bytes", limit))
 	}
 	control := http.NewResponseController(c.w)
-	// A body that comes byte by byte would hold memory and a connection.
+	// A slow client must not hold memory and a connection indefinitely.
 	if err := control.SetReadDeadline(time.Now().Add(bodyTimeout)); err != nil {
 		return pkopenai.Request{}, err
 	}
@@ -98,8 +99,7 @@
 	return req, control.SetReadDeadline(time.Time{})
 }
 
-// model finds a model by the name that the caller wrote: MODEL or
-// MODEL:ADAPTER.
+// model looks up a model by the name in the request: MODEL or MODEL:ADAPTER.
 func (c *call) model(name pkid.ModelID) (*pkmanifest.Model, pkid.AdapterID, bool) {
 	base, adapter, _ := strings.Cut(string(name), ":")
 	m, found := c.view.Model(c.account, pkid.ModelID(base))
@@ -109,9 +109,9 @@
 	if adapter == "" {
 		return m, "", true
 	}
-	for _, one := range m.Adapters {
-		if string(one) == adapter {
-			return m, one, true
+	for _, id := range m.Adapters {
+		if string(id) == adapter {
+			return m, id, true
 		}
 	}
 	return nil, "", false
@@ -128,7 +128,7 @@
 		MaxInFlight: c.account.MaxInFlight,
 		Tokens:      run.PromptTokens + run.MaxTokens,
 		Deadline:    run.Deadline,
-		Least:       c.least(run, g.output.Expect(run.MaxTokens)),
+		Least:       c.minServiceTime(run, g.output.Expect(run.MaxTokens)),
 	})
 	if err != nil {
 		return err
@@ -136,25 +136,25 @@
 	var used pkid.Tokens
 	defer func() { leave(run.PromptTokens + used) }()
 	head := pkopenai.Head{ID: c.id, Model: pkid.ModelID(req.Model), Created: c.began, Endpoint: endpoint}
-	out := answer{head: head}
+	out := answerSink{head: head}
 	if req.Stream {
 		include := req.StreamOptions != nil && req.StreamOptions.IncludeUsage
 		out.stream = pkopenai.NewStream(c.w, head, include)
 	}
-	sink := &timed{sink: &out, call: c, last: c.began}
-	finish, err := c.runner.Run(ctx, run, sink, g.budget, &watcher{call: c})
+	sink := &timedSink{sink: &out, call: c, last: c.began}
+	finish, err := c.runner.Run(ctx, run, sink, g.budget, &attemptTracer{call: c})
 	used = finish.Tokens
 	c.record(run, req, finish)
 	if err != nil {
-		return c.failed(&out, err)
+		return c.failStream(&out, err)
 	}
 	g.output.Observe(run.MaxTokens, finish.Tokens)
 	return out.end(c.w, finish, pkopenai.NewUsage(run.PromptTokens, finish.Tokens))
 }
 
-// least returns the time that a request needs once it starts: its prompt, and
-// the tokens that it will probably use.
-func (c *call) least(run pkanswer.Request, output pkid.Tokens) time.Duration {
+// minServiceTime estimates how long a request runs after admission: prefill of its prompt, plus the
+// decoding of output tokens. It returns zero if no chain is available.
+func (c *call) minServiceTime(run pkanswer.Request, output pkid.Tokens) time.Duration {
 	now := time.Now()
 	chain, err := c.Choose(now, run.Want, nil)
 	if err != nil {
@@ -169,22 +169,23 @@
 	return least
 }
 
-// failed tells the caller of a stream that began that it is not whole.
-func (c *call) failed(out *answer, err error) error {
+// failStream ends a started stream with an error event, so that the client does not take it for
+// complete. If no stream was started, it returns err.
+func (c *call) failStream(out *answerSink, err error) error {
 	if out.stream == nil || !out.stream.Begun() {
 		return err
 	}
 	f := failure(err)
-	f.RequestID = pkid.RequestID(c.givenID())
+	f.RequestID = pkid.RequestID(c.requestID())
 	if werr := out.stream.Fail(f); werr != nil {
-		c.log.Debug("the caller did not take the failure", "request_id", c.givenID(), "error", werr)
+		c.log.Debug("failed to write error event to stream", "request_id", c.requestID(), "error", werr)
 	}
-	return fmt.Errorf("%w: %w", errBegun, err)
+	return fmt.Errorf("%w: %w", errResponseStarted, err)
 }
 
 func (c *call) record(run pkanswer.Request, req pkopenai.Request, f pkanswer.Finish) {
 	if f.Tokens == 0 {
-		// A replay could not tell what to ask for.
+		// A replay needs the number of output tokens to request.
 		return
 	}
 	err := c.recorder.add(c.began, pktrace.Line{
@@ -197,42 +198,42 @@
 		DeadlineMS:   run.Deadline.Sub(c.began).Milliseconds(),
 	})
 	if err != nil {
-		c.log.Warn("the request was not recorded", "error", err)
+		c.log.Warn("failed to record model request", "error", err)
 	}
 }
 
-// answer takes tokens for a stream or for a whole answer.
-type answer struct {
+// answerSink writes tokens to a stream, or collects them for a response sent as a whole.
+type answerSink struct {
 	head   pkopenai.Head
 	stream *pkopenai.Stream
-	said   strings.Builder
+	text   strings.Builder
 }
 
-// Token takes one token.
-func (a *answer) Token(index pkid.Index, text string) error {
+// Token writes or collects a token.
+func (a *answerSink) Token(index pkid.Index, text string) error {
 	if a.stream != nil {
 		return a.stream.Token(index, text)
 	}
-	a.said.WriteString(text)
+	a.text.WriteString(text)
 	return nil
 }
 
-func (a *answer) end(w http.ResponseWriter, f pkanswer.Finish, u pkopenai.Usage) error {
+func (a *answerSink) end(w http.ResponseWriter, f pkanswer.Finish, u pkopenai.Usage) error {
 	if a.stream != nil {
 		return a.stream.End(f.Reason, u)
 	}
-	return pkopenai.WriteWhole(w, a.head, a.said.String(), f.Reason, u)
+	return pkopenai.WriteWhole(w, a.head, a.text.String(), f.Reason, u)
 }
 
-// timed measures the time to the first token and between tokens.
-type timed struct {
+// timedSink records the time to the first token and between tokens.
+type timedSink struct {
 	sink pkanswer.Sink
 	call *call
 	last time.Time
 }
 
-// Token passes a token on and measures it.
-func (t *timed) Token(index pkid.Index, text string) error {
+// Token records the latency of a token and passes it to the wrapped sink.
+func (t *timedSink) Token(index pkid.Index, text string) error {
 	now := time.Now()
 	if index == 0 {
 		t.call.metrics.firstToken.Observe(now.Sub(t.last).Seconds())
@@ -243,79 +244,79 @@
 	return t.sink.Token(index, text)
 }
 
-// watcher makes a span of each attempt.
-type watcher struct {
+// attemptTracer records a span for each attempt, and logs and counts failed attempts.
+type attemptTracer struct {
 	call *call
 	span trace.Span
 }
 
-// AttemptBegan starts the attempt's span.
-func (w *watcher) AttemptBegan(ctx context.Context, attempt pkid.Attempt, chain pkroute.Chain) context.Context {
-	ctx, w.span = w.call.tracer.Start(ctx, "attempt", trace.WithSpanKind(trace.SpanKindClient))
-	w.span.SetAttributes(attribute.Int("attempt", int(attempt)))
-	if w.span.IsRecording() {
+// AttemptBegan starts the attempt's span and returns a context that propagates it to engines.
+func (a *attemptTracer) AttemptBegan(ctx context.Context, attempt pkid.Attempt, chain pkroute.Chain) context.Context {
+	ctx, a.span = a.call.tracer.Start(ctx, "attempt", trace.WithSpanKind(trace.SpanKindClient))
+	a.span.SetAttributes(attribute.Int("attempt", int(attempt)))
+	if a.span.IsRecording() {
 		var stages []string
 		for _, t := range chain.Stages {
 			stages = append(stages, string(t.Info.ID))
 		}
-		w.span.SetAttributes(attribute.StringSlice("stages", stages))
+		a.span.SetAttributes(attribute.StringSlice("stages", stages))
 	}
 	if attempt > 1 {
-		w.call.metrics.resumed.Inc()
+		a.call.metrics.resumed.Inc()
 	}
 	carrier := propagation.MapCarrier{}
 	w3c.Inject(ctx, carrier)
 	return pkengine.WithTrace(ctx, carrier.Get("traceparent"))
 }
 
-// AttemptEnded ends the attempt's span.
-func (w *watcher) AttemptEnded(_ context.Context, attempt pkid.Attempt, err error) {
+// AttemptEnded ends the attempt's span; a non-nil err marks the attempt as failed.
+func (a *attemptTracer) AttemptEnded(_ context.Context, attempt pkid.Attempt, err error) {
 	if err != nil {
-		w.span.SetStatus(codes.Error, "the attempt was given up")
-		w.call.metrics.givenUp.WithLabelValues(failure(err).Verdict.String()).Inc()
-		w.call.log.Info("an attempt was given up", "request_id", w.call.givenID(),
-			"trace_id", w.span.SpanContext().TraceID().String(), "attempt", attempt, "error", err)
+		a.span.SetStatus(codes.Error, "the attempt was given up")
+		a.call.metrics.givenUp.WithLabelValues(failure(err).Verdict.String()).Inc()
+		a.call.log.Info("attempt failed", "request_id", a.call.requestID(),
+			"trace_id", a.span.SpanContext().TraceID().String(), "attempt", attempt, "error", err)
 	}
-	w.span.End()
+	a.span.End()
 }
 
 const (
-	cancelQueue   = 1024
-	cancelTimeout = 500 * time.Millisecond
-	cancelsAtOnce = 8
+	cancelQueueSize      = 1024
+	cancelTimeout        = 500 * time.Millisecond
+	maxConcurrentCancels = 8
 )
 
-// cancelled is an attempt that an engine should stop.
-type cancelled struct {
+// cancellation is a request to an engine to stop an attempt.
+type cancellation struct {
 	addr    string
 	id      pkid.RequestID
 	attempt pkid.Attempt
 }
 
-// cancel asks for an attempt to be stopped, without waiting: the engine that
-// should be told is often the one that is lost.
-func (e *Entry) cancel(addr string, id pkid.RequestID, attempt pkid.Attempt) {
+// queueCancel queues the cancellation of an attempt. It does not wait for the engine, which may be
+// the one that failed.
+func (e *Entry) queueCancel(addr string, id pkid.RequestID, attempt pkid.Attempt) {
 	select {
-	case e.cancelled <- cancelled{addr: addr, id: id, attempt: attempt}:
+	case e.cancellations <- cancellation{addr: addr, id: id, attempt: attempt}:
 	default:
-		// The closed connection tells the engine as well.
+		// The queue is full. The engine also detects the closed connection.
 	}
 }
 
 func (e *Entry) sendCancels(ctx context.Context) {
-	slots := make(chan struct{}, cancelsAtOnce)
+	slots := make(chan struct{}, maxConcurrentCancels)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case one := <-e.cancelled:
+		case c := <-e.cancellations:
 			slots <- struct{}{}
 			go func() {
 				defer func() { <-slots }()
 				call, cancel := context.WithTimeout(ctx, cancelTimeout)
 				defer cancel()
-				if err := e.ports.Engines.Cancel(call, one.addr, one.id, one.attempt); err != nil {
-					e.log.Debug("an attempt could not be cancelled", "error", err)
+				if err := e.ports.Engines.Cancel(call, c.addr, c.id, c.attempt); err != nil {
+					e.log.Debug("failed to cancel attempt", "error", err)
 				}
 			}()
 		}
--- a/pkentry/claims.go
+++ b/pkentry/claims.go
@@ -21,26 +21,25 @@
 const (
 	headerIdempotency = "Idempotency-Key"
 	maxIdempotencyKey = 256
-	// claimKeepers is how many entries keep each claim.
-	claimKeepers = 2
-	claimTimeout = 500 * time.Millisecond
+	// claimReplicas is the number of entries that store each claim.
+	claimReplicas = 2
+	claimTimeout  = 500 * time.Millisecond
 )
 
-// claims is this entry's part of the neighborhood's claims, and the questions
-// that it has open with others.
+// claims holds the idempotency claims stored at this entry, and its claim requests to other entries
+// that are pending.
 type claims struct {
-	table pkclaim.Table
-	next  atomic.Uint64
+	table  pkclaim.Table
+	nextID atomic.Uint64
 
-	mu   sync.Mutex
-	open map[uint64]chan bool
+	mu      sync.Mutex
+	pending map[uint64]chan bool
 }
 
-var errNotAsked = errors.New("an entry that keeps the claim did not answer")
+var errClaimUnanswered = errors.New("claim replica unreachable or timed out")
 
-// claim claims the call's idempotency key, if it has one and the call may not
-// be repeated. The returned function gives the claim back; it is called when
-// the call was not run.
+// claim claims the call's idempotency key at all replicas, if the call has a key and is not
+// repeatable. The returned function releases the claim; call it only if the call was not run.
 func (c *call) claim(service pkid.ServiceID, repeatable bool) (func(), error) {
 	text := c.r.Header.Get(headerIdempotency)
 	if text == "" || repeatable {
@@ -50,13 +49,13 @@
 		return nil, c.invalid(http.StatusBadRequest, "bad_idempotency_key", "the idempotency key is too long")
 	}
 	k := pkclaim.KeyOf(c.account.ID, service, text)
-	keepers := pkmember.First(c.peers.table.Neighbors(time.Now()), string(k), claimKeepers)
+	replicas := pkmember.First(c.peers.table.Neighbors(time.Now()), string(k), claimReplicas)
 	release := func() {
-		for _, m := range keepers {
+		for _, m := range replicas {
 			c.releaseAt(m, k, c.id)
 		}
 	}
-	for _, m := range keepers {
+	for _, m := range replicas {
 		granted, err := c.claimAt(c.r.Context(), m, k, c.id)
 		if err != nil {
 			release()
@@ -79,10 +78,10 @@
 	}
 	c := e.peers.connTo(m.Instance)
 	if c == nil {
-		return false, errNotAsked
+		return false, errClaimUnanswered
 	}
-	id, answer := e.claims.ask()
-	defer e.claims.forget(id)
+	id, answer := e.claims.addPending()
+	defer e.claims.removePending(id)
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	if _, err := c.Send(ctx, pkmember.Message{Claim: &pkmember.Claim{ID: id, Key: string(k), Holder: holder}}); err != nil {
@@ -92,12 +91,12 @@
 	case granted := <-answer:
 		return granted, nil
 	case <-ctx.Done():
-		return false, errNotAsked
+		return false, errClaimUnanswered
 	}
 }
 
-// releaseAt gives a claim back. If that is lost, the key stays claimed and the
-// caller has to take another one, which is safe.
+// releaseAt releases a claim at a replica. If the release is lost, the key stays claimed and the
+// client has to retry with another key, which is safe.
 func (e *Entry) releaseAt(m pkmember.Member, k pkclaim.Key, holder pkid.RequestID) {
 	if m.Instance == e.peers.table.Self().Instance {
 		e.claims.table.Release(k, holder)
@@ -110,12 +109,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 	defer cancel()
 	if _, err := c.Send(ctx, pkmember.Message{Claim: &pkmember.Claim{Key: string(k), Holder: holder, Release: true}}); err != nil {
-		e.log.Debug("a claim was not given back", "error", err)
+		e.log.Debug("failed to release claim", "error", err)
 	}
 }
 
-// answerClaim answers another entry's claim.
-func (e *Entry) answerClaim(ctx context.Context, c *pkpeer.Conn[pkmember.Message], claim *pkmember.Claim) error {
+// handleClaim handles a claim or release request from another entry.
+func (e *Entry) handleClaim(ctx context.Context, c *pkpeer.Conn[pkmember.Message], claim *pkmember.Claim) error {
 	k := pkclaim.Key(claim.Key)
 	if claim.Release {
 		e.claims.table.Release(k, claim.Holder)
@@ -126,31 +125,30 @@
 	return err
 }
 
-// handOverPart is how many claims travel in one message.
-const handOverPart = 500
+// handOverBatch is the maximum number of claims in a hand-over message.
+const handOverBatch = 500
 
-// connPoll is how often a connection that is awaited is looked for.
-const connPoll = 20 * time.Millisecond
+// connPollInterval is the interval for checking whether a link is connected.
+const connPollInterval = 20 * time.Millisecond
 
-// handOverClaims gives this entry's claims to those of members that should keep
-// them. It is called when a neighbor comes and when this entry leaves: all VMs
-// are replaced in the night, and claims that stayed where they were made would
-// be forgotten with them, or not be asked for any more.
+// handOverClaims sends this entry's claims to the members that are replicas of them. It is called
+// when the neighborhood changes and when this entry leaves, so that claims survive the replacement
+// of all VMs.
 func (e *Entry) handOverClaims(ctx context.Context, members []pkmember.Member) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	self := e.peers.table.Self()
-	parts := map[pkmember.Instance][]pkmember.Claim{}
+	claimsByInstance := map[pkmember.Instance][]pkmember.Claim{}
 	for _, held := range e.claims.table.All(time.Now()) {
-		for _, m := range pkmember.First(members, string(held.Key), claimKeepers) {
+		for _, m := range pkmember.First(members, string(held.Key), claimReplicas) {
 			if m.Instance != self.Instance {
-				parts[m.Instance] = append(parts[m.Instance], pkmember.Claim{Key: string(held.Key), Holder: held.Holder})
+				claimsByInstance[m.Instance] = append(claimsByInstance[m.Instance], pkmember.Claim{Key: string(held.Key), Holder: held.Holder})
 			}
 		}
 	}
-	for id, all := range parts {
+	for id, all := range claimsByInstance {
 		if err := e.sendClaims(ctx, id, all); err != nil {
-			e.log.Warn("claims were not handed over", "error", err)
+			e.log.Warn("failed to hand over claims", "error", err)
 		}
 	}
 }
@@ -158,43 +156,43 @@
 func (e *Entry) sendClaims(ctx context.Context, to pkmember.Instance, all []pkmember.Claim) error {
 	c := e.peers.connTo(to)
 	for c == nil {
-		// A neighbor that has just come may not be dialed yet.
-		if !pktimer.Sleep(ctx, connPoll) {
-			return errNotAsked
+		// The link to a new neighbor may not be connected yet.
+		if !pktimer.Sleep(ctx, connPollInterval) {
+			return errClaimUnanswered
 		}
 		c = e.peers.connTo(to)
 	}
-	for part := range slices.Chunk(all, handOverPart) {
-		if _, err := c.Send(ctx, pkmember.Message{HandOver: part}); err != nil {
+	for batch := range slices.Chunk(all, handOverBatch) {
+		if _, err := c.Send(ctx, pkmember.Message{HandOver: batch}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *claims) ask() (uint64, <-chan bool) {
+func (c *claims) addPending() (uint64, <-chan bool) {
 	answer := make(chan bool, 1)
-	id := c.next.Add(1)
+	id := c.nextID.Add(1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.open == nil {
-		c.open = map[uint64]chan bool{}
+	if c.pending == nil {
+		c.pending = map[uint64]chan bool{}
 	}
-	c.open[id] = answer
+	c.pending[id] = answer
 	return id, answer
 }
 
-func (c *claims) forget(id uint64) {
+func (c *claims) removePending(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.open, id)
+	delete(c.pending, id)
 }
 
-func (c *claims) answered(a *pkmember.Claimed) {
+func (c *claims) resolve(a *pkmember.Claimed) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if answer, found := c.open[a.ID]; found {
-		delete(c.open, a.ID)
+	if answer, found := c.pending[a.ID]; found {
+		delete(c.pending, a.ID)
 		answer <- a.Granted
 	}
 }
--- a/pkentry/doc.go
+++ b/pkentry/doc.go
@@ -1,8 +1,7 @@
-// Package pkentry is the entry daemon: it wires the packages that decide to
-// the callers, and to the store, the platform and the targets by their Ports.
+// Package pkentry implements the entry daemon. It connects the routing, admission and membership
+// packages to clients, and through Ports to the store, the platform and the targets.
 //
-// An Entry keeps one manifest view, one table of targets and one gate for each
-// pool. Its loops follow the manifest, the VM list, the loads and the peers;
-// its handlers serve callers and operators. Run ends when the context does,
-// after a graceful shutdown.
+// An Entry holds one manifest view, one target table and one admission gate per pool. Background
+// loops follow the manifest, the VM list, target loads and peers; HTTP handlers serve clients,
+// operators and peers. Run returns after a graceful shutdown once its context is canceled.
 package pkentry
--- a/pkentry/entry.go
+++ b/pkentry/entry.go
@@ -23,11 +23,12 @@
 	headerTimeout  = 5 * time.Second
 	idleTimeout    = 60 * time.Second
 	maxHeaderBytes = 32 << 10
-	// lastWords is how long requests that are ended by a stop have to say so.
-	lastWords = time.Second
+	// abortGrace bounds how long requests aborted by a shutdown may take to report it to their
+	// clients.
+	abortGrace = time.Second
 )
 
-// Entry is one running entry daemon.
+// Entry is an entry daemon; create it with New and start it with Run.
 type Entry struct {
 	settings Settings
 	log      hclog.Logger
@@ -38,46 +39,46 @@
 
 	view     atomic.Pointer[pkmanifest.View]
 	targets  pktarget.Table
-	routes   routes
+	routes   routeCache
 	gates    gates
 	metrics  *metrics
 	recorder *recorder
 
-	// warm is set once the targets were asked for their loads: an entry that
-	// is sent callers before it knows what its targets hold refuses them all.
-	warm     atomic.Bool
-	stopping atomic.Bool
-	refusing atomic.Bool
-	// leaving is set once claims were handed over; a peer that is told closes
-	// the connection by which they go.
-	leaving   atomic.Bool
-	peers     *peers
-	owners    owners
-	claims    claims
-	callers   net.Listener
-	peerSide  net.Listener
-	admin     net.Listener
-	follow    follower
-	cancelled chan cancelled
-	// registration belongs to the loop that meets seeds.
+	// loadsPolled is set after the first poll of target loads. Until then the entry does not know
+	// what its targets hold and would reject every request, so it is not ready.
+	loadsPolled atomic.Bool
+	stopping    atomic.Bool
+	refusing    atomic.Bool
+	// leaving is set after the claims are handed over: a peer that sees it closes the connection
+	// they are sent on.
+	leaving        atomic.Bool
+	peers          *peers
+	owners         owners
+	claims         claims
+	callerListener net.Listener
+	peerListener   net.Listener
+	adminListener  net.Listener
+	manifest       manifestState
+	cancellations  chan cancellation
+	// registration is used only by the contactSeeds loop.
 	registration registration
 }
 
-// New returns an entry that listens already and serves once Run is called; it closes
-// its ports, also where New fails.
+// New returns an entry with open listeners that accepts requests once Run is called. It takes
+// ownership of the ports and closes them, also if New fails.
 func New(s Settings, p Ports, log hclog.Logger, tracer trace.Tracer) (*Entry, error) {
 	e := &Entry{
-		settings:  s,
-		log:       log.With("entry", s.Entry),
-		tracer:    tracer,
-		ports:     p,
-		metrics:   newMetrics(),
-		cancelled: make(chan cancelled, cancelQueue),
+		settings:      s,
+		log:           log.With("entry", s.Entry),
+		tracer:        tracer,
+		ports:         p,
+		metrics:       newMetrics(),
+		cancellations: make(chan cancellation, cancelQueueSize),
 	}
 	e.routes.links = s.links()
 	e.routes.from = s.DataCenter
-	e.runner = &pkanswer.Runner{Engine: p.Engines, Router: e, Options: pkanswer.DefaultOptions(), Cancel: e.cancel}
-	e.metrics.watch(e)
+	e.runner = &pkanswer.Runner{Engine: p.Engines, Router: e, Options: pkanswer.DefaultOptions(), Cancel: e.queueCancel}
+	e.metrics.registerGauges(e)
 	var err error
 	if e.recorder, err = newRecorder(s.Record); err != nil {
 		return nil, errors.Join(err, p.close())
@@ -91,64 +92,63 @@
 
 func (e *Entry) listen() error {
 	var err error
-	if e.callers, err = net.Listen("tcp", e.settings.Listen.Callers); err != nil {
+	if e.callerListener, err = net.Listen("tcp", e.settings.Listen.Callers); err != nil {
 		return fmt.Errorf("listen for callers: %w", err)
 	}
-	if e.admin, err = net.Listen("tcp", e.settings.Listen.Admin); err != nil {
+	if e.adminListener, err = net.Listen("tcp", e.settings.Listen.Admin); err != nil {
 		return fmt.Errorf("listen for operators: %w", err)
 	}
 	if e.settings.Listen.Peers == "" {
 		return nil
 	}
-	if e.peerSide, err = net.Listen("tcp", e.settings.Listen.Peers); err != nil {
+	if e.peerListener, err = net.Listen("tcp", e.settings.Listen.Peers); err != nil {
 		return fmt.Errorf("listen for peers: %w", err)
 	}
 	return nil
 }
 
-// Callers returns the address that callers reach.
-func (e *Entry) Callers() string { return e.callers.Addr().String() }
+// Callers returns the address of the client listener.
+func (e *Entry) Callers() string { return e.callerListener.Addr().String() }
 
-// Admin returns the address that operators reach.
-func (e *Entry) Admin() string { return e.admin.Addr().String() }
+// Admin returns the address of the admin listener.
+func (e *Entry) Admin() string { return e.adminListener.Addr().String() }
 
-// Peers returns the address that other entries reach; it is empty for an entry
-// that stays alone.
+// Peers returns the address of the peer listener, or an empty string if the entry has none.
 func (e *Entry) Peers() string {
-	if e.peerSide == nil {
+	if e.peerListener == nil {
 		return ""
 	}
-	return e.peerSide.Addr().String()
+	return e.peerListener.Addr().String()
 }
 
-// Run serves until ctx ends, then stops gracefully and returns once
-// everything that the entry started has ended.
+// Run serves until ctx is canceled, then shuts down gracefully. It returns after all goroutines
+// that the entry started have ended.
 func (e *Entry) Run(ctx context.Context) error {
-	// The loops outlive ctx: requests in progress need them until the end.
-	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	// The loops outlive ctx because requests in progress need them during the shutdown.
+	loopCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	calls, endCalls := context.WithCancelCause(inner)
-	defer endCalls(nil)
+	calls, abortCalls := context.WithCancelCause(loopCtx)
+	defer abortCalls(nil)
 	callers := e.server(calls, e.callersHandler())
-	admin := e.server(inner, e.adminHandler())
+	admin := e.server(loopCtx, e.adminHandler())
 	var g run.Group
-	g.Add(func() error { return e.waitAndStop(ctx, callers, endCalls) }, func(error) { cancel() })
-	g.Add(func() error { return serve(callers, e.callers, inner) }, func(error) { _ = callers.Close() })
-	g.Add(func() error { return serve(admin, e.admin, inner) }, func(error) { _ = admin.Close() })
-	loops := []func(context.Context){e.followManifest, e.followVMs, e.followLoads, e.tendGates, e.sendCancels, e.ownPools}
-	if e.peerSide != nil {
-		peers := e.server(inner, e.peersHandler())
-		g.Add(func() error { return serve(peers, e.peers.net.Listen(e.peerSide), inner) }, func(error) { _ = peers.Close() })
-		loops = append(loops, e.tendPeers, e.meetSeeds)
+	g.Add(func() error { return e.waitAndStop(ctx, callers, abortCalls) }, func(error) { cancel() })
+	g.Add(func() error { return serve(callers, e.callerListener, loopCtx) }, func(error) { _ = callers.Close() })
+	g.Add(func() error { return serve(admin, e.adminListener, loopCtx) }, func(error) { _ = admin.Close() })
+	loops := []func(context.Context){e.syncManifest, e.pollVMs, e.pollLoads, e.maintainGates, e.sendCancels, e.reconcilePools}
+	if e.peerListener != nil {
+		peers := e.server(loopCtx, e.peersHandler())
+		g.Add(func() error { return serve(peers, e.peers.net.Listen(e.peerListener), loopCtx) }, func(error) { _ = peers.Close() })
+		loops = append(loops, e.maintainPeers, e.contactSeeds)
 	}
 	for _, loop := range loops {
-		g.Add(func() error { loop(inner); return nil }, func(error) { cancel() })
+		g.Add(func() error { loop(loopCtx); return nil }, func(error) { cancel() })
 	}
 	err := g.Run()
 	return errors.Join(err, e.close())
 }
 
-// server returns a server whose requests end with ctx at the latest.
+// server returns an HTTP server whose request contexts derive from ctx.
 func (e *Entry) server(ctx context.Context, h http.Handler) *http.Server {
 	return &http.Server{
 		BaseContext:       func(net.Listener) context.Context { return ctx },
@@ -160,8 +160,8 @@
 	}
 }
 
-// serve serves until the server is closed; it stays until ctx ends, so that a
-// closed server does not end the group before the stop is done.
+// serve runs s on l. After s is closed it blocks until ctx is done, so that a closed server does
+// not end the run group before the shutdown is complete.
 func serve(s *http.Server, l net.Listener, ctx context.Context) error {
 	err := s.Serve(l)
 	if !errors.Is(err, http.ErrServerClosed) {
@@ -171,11 +171,11 @@
 	return nil
 }
 
-// waitAndStop waits for the end of ctx and stops gracefully: first not ready,
-// while the balancer still sends; then no new requests; then what is in
-// progress ends, within the limit. What still runs then is told so: a stream
-// that is merely cut leaves its caller to guess.
-func (e *Entry) waitAndStop(ctx context.Context, callers *http.Server, endCalls context.CancelCauseFunc) error {
+// waitAndStop waits for ctx and shuts down in steps: it reports not ready while the load balancer
+// drains, then rejects new requests, then waits up to the stop limit for requests in progress.
+// Requests that are still running are aborted with an error, so that their clients get a verdict
+// and not just a closed connection.
+func (e *Entry) waitAndStop(ctx context.Context, callers *http.Server, abortCalls context.CancelCauseFunc) error {
 	<-ctx.Done()
 	e.log.Info("stopping", "delay", e.settings.Stop.Delay, "limit", e.settings.Stop.Limit)
 	e.stopping.Store(true)
@@ -188,25 +188,25 @@
 	case <-limit.C:
 	}
 	e.refusing.Store(true)
-	within, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	shutdownCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	go func() {
 		select {
 		case <-limit.C:
 			cancel()
-		case <-within.Done():
+		case <-shutdownCtx.Done():
 		}
 	}()
 	defer func() {
-		e.handOverClaims(context.WithoutCancel(ctx), e.peers.others(time.Now()))
+		e.handOverClaims(context.WithoutCancel(ctx), e.peers.neighbors(time.Now()))
 		e.leaving.Store(true)
 	}()
-	if err := callers.Shutdown(within); err != nil {
-		e.log.Warn("requests were still running at the limit of the stop")
-		endCalls(pkverdict.ErrStopping)
-		last, cancel := context.WithTimeout(context.WithoutCancel(ctx), lastWords)
+	if err := callers.Shutdown(shutdownCtx); err != nil {
+		e.log.Warn("shutdown limit reached; aborting requests in progress")
+		abortCalls(pkverdict.ErrStopping)
+		abortCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), abortGrace)
 		defer cancel()
-		if err := callers.Shutdown(last); err != nil {
+		if err := callers.Shutdown(abortCtx); err != nil {
 			return callers.Close()
 		}
 	}
@@ -215,7 +215,7 @@
 
 func (e *Entry) close() error {
 	var errs []error
-	for _, l := range []net.Listener{e.callers, e.admin, e.peerSide} {
+	for _, l := range []net.Listener{e.callerListener, e.adminListener, e.peerListener} {
 		if l != nil {
 			if err := l.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
 				errs = append(errs, err)
--- a/pkentry/listen.go
+++ b/pkentry/inbound.go
@@ -18,27 +18,28 @@
 func (e *Entry) peersHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+pkpeer.Path, func(w http.ResponseWriter, r *http.Request) {
-		// The server forgets connections that became WebSockets; the group
-		// keeps the stop waiting for them.
-		if !e.peers.enter() {
+		// http.Server does not track hijacked connections; the wait group lets the shutdown wait
+		// for them.
+		if !e.peers.addInbound() {
 			return
 		}
 		defer e.peers.wg.Done()
 		c, err := e.peers.net.Accept(w, r)
 		if err != nil {
-			e.log.Debug("a peer was not accepted", "error", err)
+			e.log.Debug("failed to accept peer connection", "error", err)
 			return
 		}
 		defer func() { _ = c.Close() }()
-		if err := e.listenTo(r.Context(), c); err != nil {
-			e.log.Debug("a peer's connection ended", "error", err)
+		if err := e.servePeer(r.Context(), c); err != nil {
+			e.log.Debug("peer connection closed", "error", err)
 		}
 	})
 	return mux
 }
 
-// listenTo takes what a peer that dialed in says.
-func (e *Entry) listenTo(ctx context.Context, c *pkpeer.Conn[pkmember.Message]) error {
+// servePeer performs the handshake on an inbound connection and handles its messages until it fails
+// or is silent for peerIdleTimeout.
+func (e *Entry) servePeer(ctx context.Context, c *pkpeer.Conn[pkmember.Message]) error {
 	first, cancel := context.WithTimeout(ctx, peerTimeout)
 	m, err := c.Receive(first)
 	cancel()
@@ -47,20 +48,20 @@
 	}
 	h := m.Hello
 	if h == nil || h.Oldest > pkmember.Version || h.Version < pkmember.OldestVersion {
-		return errors.New("the peer said no hello of a version that is spoken here")
+		return errors.New("peer sent no hello or an unsupported protocol version")
 	}
 	if _, err := c.Send(ctx, pkmember.Message{Hello: e.hello()}); err != nil {
 		return err
 	}
 	table := e.peers.table
 	table.Learn(time.Now(), append(h.Known, h.From))
-	// A probe of a seed says hello and goes; only what follows is a link, and
-	// only a link may start the counts over.
+	// A discovery probe closes after the handshake. The connection is registered with the first
+	// message after it, because registration resets the peer's counts.
 	var connection uint64
 	var names pkmember.Names
 	defer func() { table.Break(h.From.Instance, connection) }()
 	for {
-		wait, cancel := context.WithTimeout(ctx, peerSilence)
+		wait, cancel := context.WithTimeout(ctx, peerIdleTimeout)
 		m, err := c.Receive(wait)
 		cancel()
 		if err != nil {
@@ -74,13 +75,13 @@
 				return err
 			}
 		}
-		if err := e.hear(ctx, c, h.From, m); err != nil {
+		if err := e.handleMessage(ctx, c, h.From, m); err != nil {
 			return err
 		}
 	}
 }
 
-func (e *Entry) hear(ctx context.Context, c *pkpeer.Conn[pkmember.Message], from pkmember.Member, m pkmember.Message) error {
+func (e *Entry) handleMessage(ctx context.Context, c *pkpeer.Conn[pkmember.Message], from pkmember.Member, m pkmember.Message) error {
 	now := time.Now()
 	switch {
 	case m.Leaving:
@@ -91,21 +92,21 @@
 			e.claims.table.Claim(now, pkclaim.Key(claim.Key), claim.Holder)
 		}
 	case m.Claim != nil:
-		return e.answerClaim(ctx, c, m.Claim)
+		return e.handleClaim(ctx, c, m.Claim)
 	case m.Manifest != nil:
-		if err := e.takeManifest(m.Manifest, now); err != nil {
-			e.log.Warn("a peer's manifest was not taken", "peer", from.Entry, "error", err)
+		if err := e.receiveManifest(m.Manifest, now); err != nil {
+			e.log.Warn("failed to adopt manifest from peer", "peer", from.Entry, "error", err)
 		}
 	case m.Share != nil:
 		e.peers.table.Take(now, from.Instance, m.Share)
-		e.takeReports(m.Share.Reports, now)
-		return e.wantNewer(ctx, c, m.Share)
+		e.applyReports(m.Share.Reports, now)
+		return e.requestNewerManifest(ctx, c, m.Share)
 	}
 	return nil
 }
 
-// wantNewer asks for a peer's manifest if it is newer than the one in force.
-func (e *Entry) wantNewer(ctx context.Context, c *pkpeer.Conn[pkmember.Message], s *pkmember.Share) error {
+// requestNewerManifest requests a peer's manifest if it is newer than the one in force.
+func (e *Entry) requestNewerManifest(ctx context.Context, c *pkpeer.Conn[pkmember.Message], s *pkmember.Share) error {
 	if s.Revision == 0 {
 		return nil
 	}
@@ -116,19 +117,19 @@
 	}
 	switch pkhead.Consider(rev, digest, s.Revision, s.Digest) {
 	case pkhead.Adopt:
-		if !e.peers.mayWant(s.Revision, time.Now()) {
+		if !e.peers.shouldRequest(s.Revision, time.Now()) {
 			return nil
 		}
 		_, err := c.Send(ctx, pkmember.Message{Want: &pkmember.Want{Revision: s.Revision}})
 		return err
 	case pkhead.Conflict:
-		e.raise(fmt.Sprintf("a peer has another manifest as revision %d", rev))
+		e.setAlarm(fmt.Sprintf("a peer has another manifest as revision %d", rev))
 	default:
 	}
 	return nil
 }
 
-func (e *Entry) takeManifest(m *pkmember.Manifest, now time.Time) error {
+func (e *Entry) receiveManifest(m *pkmember.Manifest, now time.Time) error {
 	head, err := pkhead.Decode(m.Head)
 	if err != nil {
 		return err
@@ -138,7 +139,7 @@
 		return err
 	}
 	if got := pkmanifest.DigestOf(body); got != head.Digest {
-		return fmt.Errorf("revision %d has digest %s, its head says %s", head.Revision, got, head.Digest)
+		return fmt.Errorf("manifest revision %d has digest %s, expected %s", head.Revision, got, head.Digest)
 	}
 	return e.adopt(head, body, now)
 }
--- a/pkentry/link.go
+++ b/pkentry/link.go
@@ -14,36 +14,37 @@
 	"peridotknot.example/pktimer"
 )
 
-// runLink dials a member again and again and sends to it while it can.
+// runLink keeps a connection to a member, redialing with backoff and jitter until ctx is done.
 func (e *Entry) runLink(ctx context.Context, l *link) {
-	backOff := backOffFirst
+	backoff := initialBackoff
 	for ctx.Err() == nil {
 		began := time.Now()
-		err := e.sendTo(ctx, l)
+		err := e.runConnection(ctx, l)
 		if ctx.Err() != nil {
 			return
 		}
-		e.log.Debug("a peer cannot be reached", "peer", l.to.Entry, "error", err)
-		if time.Since(began) > backOffMost {
-			backOff = backOffFirst
+		e.log.Debug("peer link failed", "peer", l.to.Entry, "error", err)
+		if time.Since(began) > maxBackoff {
+			backoff = initialBackoff
 		}
-		if !pktimer.Sleep(ctx, backOff/2+time.Duration(newRand().Int64N(int64(backOff)))) {
+		if !pktimer.Sleep(ctx, backoff/2+time.Duration(newRand().Int64N(int64(backoff)))) {
 			return
 		}
-		backOff = min(2*backOff, backOffMost)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-func (e *Entry) sendTo(ctx context.Context, l *link) error {
-	c, hello, err := e.meet(ctx, l.to.Addr)
+// runConnection dials a member and sends updates to it until the connection fails or ctx is done.
+func (e *Entry) runConnection(ctx context.Context, l *link) error {
+	c, hello, err := e.dialPeer(ctx, l.to.Addr)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = c.Close() }()
 	if hello.From.Instance != l.to.Instance {
-		// Another process has the address now.
+		// The address has been taken over by another process.
 		e.peers.table.Leave(time.Now(), l.to.Instance)
-		return fmt.Errorf("%s is now %s", l.to.Addr, hello.From.Entry)
+		return fmt.Errorf("address %s now belongs to another process of entry %s", l.to.Addr, hello.From.Entry)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -54,13 +55,13 @@
 	defer l.conn.Store(nil)
 	wg.Go(func() {
 		defer cancel()
-		e.serveWants(ctx, c)
+		e.serveRequests(ctx, c)
 	})
-	return e.share(ctx, c, l)
+	return e.sendUpdates(ctx, c, l)
 }
 
-// meet dials an address and exchanges hellos.
-func (e *Entry) meet(ctx context.Context, addr string) (*pkpeer.Conn[pkmember.Message], *pkmember.Hello, error) {
+// dialPeer dials an address and performs the handshake.
+func (e *Entry) dialPeer(ctx context.Context, addr string) (*pkpeer.Conn[pkmember.Message], *pkmember.Hello, error) {
 	dial, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	c, err := e.peers.net.Dial(dial, addr)
@@ -73,7 +74,7 @@
 	}
 	m, err := c.Receive(dial)
 	if err == nil && m.Hello == nil {
-		err = errors.New("the peer did not say hello")
+		err = errors.New("peer did not answer with a hello")
 	}
 	if err != nil {
 		return nil, nil, errors.Join(err, c.Close())
@@ -91,64 +92,64 @@
 	}
 }
 
-// share sends what changed, at the pace that the budget allows.
-func (e *Entry) share(ctx context.Context, c *pkpeer.Conn[pkmember.Message], l *link) error {
-	told := newTold()
-	near := l.to.Neighborhood == e.peers.table.Self().Neighborhood
+// sendUpdates sends the changed state repeatedly, paced by the bandwidth budget or triggered by wake.
+func (e *Entry) sendUpdates(ctx context.Context, c *pkpeer.Conn[pkmember.Message], l *link) error {
+	sent := newSentState()
+	sameNeighborhood := l.to.Neighborhood == e.peers.table.Self().Neighborhood
 	for {
-		size, err := c.Send(ctx, pkmember.Message{Share: e.nextShare(told, near), Leaving: e.leaving.Load()})
+		size, err := c.Send(ctx, pkmember.Message{Share: e.nextShare(sent, sameNeighborhood), Leaving: e.leaving.Load()})
 		if err != nil {
 			return err
 		}
-		pace := time.NewTimer(pkmember.Pace(size, e.peers.count()))
+		pace := time.NewTimer(pkmember.Pace(size, e.peers.linkCount()))
 		select {
 		case <-ctx.Done():
 			pace.Stop()
-			e.sayGoodbye(c)
+			e.sendLeaving(c)
 			return ctx.Err()
-		case <-l.kick:
+		case <-l.wake:
 		case <-pace.C:
 		}
 		pace.Stop()
 	}
 }
 
-// sayGoodbye tells a peer that this entry is going, so that it need not find
-// out by silence.
-func (e *Entry) sayGoodbye(c *pkpeer.Conn[pkmember.Message]) {
+// sendLeaving announces during a shutdown that this entry leaves, so that the peer need not wait for
+// a timeout.
+func (e *Entry) sendLeaving(c *pkpeer.Conn[pkmember.Message]) {
 	if !e.stopping.Load() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
 	defer cancel()
 	if _, err := c.Send(ctx, pkmember.Message{Leaving: true}); err != nil {
-		e.log.Debug("goodbye was not taken", "error", err)
+		e.log.Debug("failed to send leave message to peer", "error", err)
 	}
 }
 
-func (p *peers) count() int {
+func (p *peers) linkCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.links)
 }
 
-// serveWants answers what the other side asks for on a connection that this
-// entry dialed.
-func (e *Entry) serveWants(ctx context.Context, c *pkpeer.Conn[pkmember.Message]) {
+// serveRequests handles what the peer sends on a connection that this entry dialed: requests for the
+// manifest and replies to claims.
+func (e *Entry) serveRequests(ctx context.Context, c *pkpeer.Conn[pkmember.Message]) {
 	for {
 		m, err := c.Receive(ctx)
 		if err != nil {
 			return
 		}
 		if m.Claimed != nil {
-			e.claims.answered(m.Claimed)
+			e.claims.resolve(m.Claimed)
 		}
 		if m.Want == nil {
 			continue
 		}
-		offer, err := e.offer()
+		offer, err := e.manifestMessage()
 		if err != nil {
-			e.log.Warn("the manifest cannot be offered", "error", err)
+			e.log.Warn("failed to build manifest for peer", "error", err)
 			continue
 		}
 		if _, err := c.Send(ctx, pkmember.Message{Manifest: offer}); err != nil {
@@ -157,16 +158,17 @@
 	}
 }
 
-func (e *Entry) offer() (*pkmember.Manifest, error) {
-	e.follow.mu.Lock()
-	defer e.follow.mu.Unlock()
-	if len(e.follow.body) == 0 {
-		return nil, errors.New("there is none")
+// manifestMessage returns the manifest in force in its wire format.
+func (e *Entry) manifestMessage() (*pkmember.Manifest, error) {
+	e.manifest.mu.Lock()
+	defer e.manifest.mu.Unlock()
+	if len(e.manifest.body) == 0 {
+		return nil, errors.New("no manifest in force")
 	}
-	head, err := json.Marshal(e.follow.head)
+	head, err := json.Marshal(e.manifest.head)
 	if err != nil {
 		return nil, err
 	}
-	packed, err := pkhead.Pack(e.follow.body)
+	packed, err := pkhead.Pack(e.manifest.body)
 	return &pkmember.Manifest{Head: head, Body: packed}, err
 }
--- a/pkentry/manifest.go
+++ b/pkentry/manifest.go
@@ -15,18 +15,20 @@
 
 const (
 	storeTimeout = 2 * time.Second
-	// rereadEvery bounds the harm of a watch that went silent.
-	rereadEvery = 10 * time.Second
-	// watchers is how many entries of a neighborhood watch the store; the
-	// others hear from them, and reread now and then in case they do not.
-	watchers      = 2
-	rereadUnasked = 30 * time.Second
-	backOffFirst  = 100 * time.Millisecond
-	backOffMost   = 5 * time.Second
+	// rereadInterval bounds the delay of an update if a watch stalls silently.
+	rereadInterval = 10 * time.Second
+	// watchersPerNeighborhood is the number of entries in a neighborhood that watch the store. The
+	// others get new revisions from peers, and reread the head about every
+	// nonWatcherRereadInterval as a fallback.
+	watchersPerNeighborhood  = 2
+	nonWatcherRereadInterval = 30 * time.Second
+	initialBackoff           = 100 * time.Millisecond
+	maxBackoff               = 5 * time.Second
 )
 
-// follower is what the entry knows of the store's head.
-type follower struct {
+// manifestState is the manifest in force, the alarm about it, and whether the store was reachable
+// at the last attempt.
+type manifestState struct {
 	mu      sync.Mutex
 	body    []byte
 	head    pkhead.Head
@@ -35,55 +37,54 @@
 	storeOK bool
 }
 
-// followManifest keeps the manifest in force up to date with the store.
-func (e *Entry) followManifest(ctx context.Context) {
-	backOff := backOffFirst
+// syncManifest keeps the manifest in force in sync with the store, with backoff after errors.
+func (e *Entry) syncManifest(ctx context.Context) {
+	backoff := initialBackoff
 	for ctx.Err() == nil {
-		err := e.followOnce(ctx)
+		err := e.syncOnce(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if err == nil {
-			backOff = backOffFirst
+			backoff = initialBackoff
 			continue
 		}
-		e.setStore(false)
-		e.log.Warn("the store cannot be followed", "error", err, "again_in", backOff)
-		// Jitter: all entries lose the store at one moment, and must not all
-		// return at one moment.
-		pause := backOff/2 + time.Duration(newRand().Int64N(int64(backOff)))
+		e.setStoreOK(false)
+		e.log.Warn("the store cannot be followed", "error", err, "again_in", backoff)
+		// Jitter keeps the entries from reconnecting all at once after a store outage.
+		pause := backoff/2 + time.Duration(newRand().Int64N(int64(backoff)))
 		if !pktimer.Sleep(ctx, pause) {
 			return
 		}
-		backOff = min(2*backOff, backOffMost)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// followOnce reads the head and watches it until the watch ends. The reread
-// limit ends a watch that is well, too: one that went silent looks the same.
-func (e *Entry) followOnce(ctx context.Context) error {
+// syncOnce reads the head, then watches it for at most rereadInterval, because a stalled watch looks
+// like one without changes. An entry that is not a watcher waits for its next reread instead.
+func (e *Entry) syncOnce(ctx context.Context) error {
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	item, err := e.ports.Store.Load(call, pkhead.HeadKey)
 	cancel()
 	if err != nil {
 		return err
 	}
-	e.setStore(true)
-	if err := e.consider(ctx, item); err != nil {
-		e.log.Error("the head was not adopted", "error", err)
+	e.setStoreOK(true)
+	if err := e.adoptIfNewer(ctx, item); err != nil {
+		e.log.Error("failed to adopt manifest head", "error", err)
 	}
-	if !e.watches(time.Now()) {
+	if !e.isWatcher(time.Now()) {
 		e.waitAsNonWatcher(ctx)
 		return nil
 	}
-	watch, cancel := context.WithTimeout(ctx, rereadEvery)
+	watch, cancel := context.WithTimeout(ctx, rereadInterval)
 	defer cancel()
 	err = e.ports.Store.Watch(watch, pkhead.HeadKey, item.Revision, func(ev pkstore.Event) {
 		if ev.Deleted {
 			return
 		}
-		if err := e.consider(ctx, ev.Item); err != nil {
-			e.log.Error("the head was not adopted", "error", err)
+		if err := e.adoptIfNewer(ctx, ev.Item); err != nil {
+			e.log.Error("failed to adopt manifest head", "error", err)
 		}
 	})
 	if watch.Err() != nil {
@@ -92,11 +93,11 @@
 	return err
 }
 
-// watches says whether it falls to this entry to watch the store. A watch
-// counts as a call for as long as it waits, so not every entry has one.
-func (e *Entry) watches(now time.Time) bool {
+// isWatcher reports whether this entry watches the store. A watch occupies a call to the store while
+// it is open, so only a few entries per neighborhood have one.
+func (e *Entry) isWatcher(now time.Time) bool {
 	self := e.peers.table.Self()
-	for _, m := range pkmember.First(e.peers.table.Neighbors(now), pkhead.HeadKey, watchers) {
+	for _, m := range pkmember.First(e.peers.table.Neighbors(now), pkhead.HeadKey, watchersPerNeighborhood) {
 		if m.Instance == self.Instance {
 			return true
 		}
@@ -104,25 +105,24 @@
 	return false
 }
 
-// waitAsNonWatcher waits for the next reread, or until it falls to this entry
-// to watch.
+// waitAsNonWatcher waits until the next reread is due or this entry becomes a watcher.
 func (e *Entry) waitAsNonWatcher(ctx context.Context) {
-	until := time.Now().Add(rereadUnasked/2 + time.Duration(newRand().Int64N(int64(rereadUnasked))))
-	for time.Now().Before(until) && !e.watches(time.Now()) {
-		if !pktimer.Sleep(ctx, tendPeersEvery) {
+	until := time.Now().Add(nonWatcherRereadInterval/2 + time.Duration(newRand().Int64N(int64(nonWatcherRereadInterval))))
+	for time.Now().Before(until) && !e.isWatcher(time.Now()) {
+		if !pktimer.Sleep(ctx, linkInterval) {
 			return
 		}
 	}
 }
 
-func (e *Entry) setStore(ok bool) {
-	e.follow.mu.Lock()
-	defer e.follow.mu.Unlock()
-	e.follow.storeOK = ok
+func (e *Entry) setStoreOK(ok bool) {
+	e.manifest.mu.Lock()
+	defer e.manifest.mu.Unlock()
+	e.manifest.storeOK = ok
 }
 
-// consider adopts the head's manifest if it is newer than what is in force.
-func (e *Entry) consider(ctx context.Context, item pkstore.Item) error {
+// adoptIfNewer adopts the manifest of the head in item if it is newer than the one in force.
+func (e *Entry) adoptIfNewer(ctx context.Context, item pkstore.Item) error {
 	if item.Revision == 0 {
 		return nil
 	}
@@ -130,7 +130,7 @@
 	if err != nil || head.Revision == 0 {
 		return err
 	}
-	if !e.newer(head.Publication) {
+	if !e.isNewer(head.Publication) {
 		return nil
 	}
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
@@ -142,9 +142,9 @@
 	return e.adopt(head, body, time.Now())
 }
 
-// newer says whether a publication should replace what is in force, and raises
-// an alarm if the two contradict each other.
-func (e *Entry) newer(p pkhead.Publication) bool {
+// isNewer reports whether a publication is newer than the manifest in force. It sets the alarm if
+// the publication is older or conflicts, and clears it if both are the same.
+func (e *Entry) isNewer(p pkhead.Publication) bool {
 	view := e.view.Load()
 	if view == nil {
 		return true
@@ -153,43 +153,45 @@
 	case pkhead.Adopt:
 		return true
 	case pkhead.Older:
-		e.raise(fmt.Sprintf("the store offers revision %d, %d is in force: was it restored from an older copy?", p.Revision, view.Revision))
+		e.setAlarm(fmt.Sprintf("the store offers revision %d, %d is in force: was it restored from an older copy?", p.Revision, view.Revision))
 	case pkhead.Conflict:
-		e.raise(fmt.Sprintf("two manifests have revision %d", p.Revision))
+		e.setAlarm(fmt.Sprintf("two manifests have revision %d", p.Revision))
 	case pkhead.Same:
-		e.raise("")
+		e.setAlarm("")
 	}
 	return false
 }
 
-func (e *Entry) raise(alarm string) {
-	e.follow.mu.Lock()
-	defer e.follow.mu.Unlock()
-	if alarm != "" && alarm != e.follow.alarm {
+// setAlarm sets the alarm shown by status; an empty one clears it.
+func (e *Entry) setAlarm(alarm string) {
+	e.manifest.mu.Lock()
+	defer e.manifest.mu.Unlock()
+	if alarm != "" && alarm != e.manifest.alarm {
 		e.log.Error("manifest alarm", "alarm", alarm)
 	}
-	e.follow.alarm = alarm
+	e.manifest.alarm = alarm
 }
 
-// adopt puts a body in force.
+// adopt parses body and puts it in force unless the manifest in force has the same or a later
+// revision.
 func (e *Entry) adopt(head pkhead.Head, body []byte, now time.Time) error {
 	m, err := pkmanifest.Parse(head.Name, body)
 	if err != nil {
-		return fmt.Errorf("revision %d is faulty: %w", head.Revision, err)
+		return fmt.Errorf("invalid manifest revision %d: %w", head.Revision, err)
 	}
-	e.follow.mu.Lock()
-	defer e.follow.mu.Unlock()
+	e.manifest.mu.Lock()
+	defer e.manifest.mu.Unlock()
 	if view := e.view.Load(); view != nil && view.Revision >= head.Revision {
 		return nil
 	}
 	e.view.Store(pkmanifest.NewView(m, head.Revision, head.Digest))
-	e.follow.head = head
-	e.follow.body = body
-	e.follow.since = now
-	e.follow.alarm = ""
+	e.manifest.head = head
+	e.manifest.body = body
+	e.manifest.since = now
+	e.manifest.alarm = ""
 	e.targets.Changed()
 	if e.peers != nil {
-		e.peers.kick()
+		e.peers.wakeAll()
 	}
 	e.log.Info("manifest in force", "revision", head.Revision, "name", m.Name)
 	return nil
--- a/pkentry/metrics.go
+++ b/pkentry/metrics.go
@@ -7,8 +7,8 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 )
 
-// metrics is what /metrics shows. No label is an account, a model or a target:
-// their product would be millions of series.
+// metrics holds the collectors behind /metrics. Accounts, models and targets are not used as labels,
+// to bound the number of series.
 type metrics struct {
 	registry      *prometheus.Registry
 	requests      *prometheus.CounterVec
@@ -54,8 +54,8 @@
 	return m
 }
 
-// watch adds the gauges that read the entry's state when asked.
-func (m *metrics) watch(e *Entry) {
+// registerGauges adds the gauges that read the entry's state on each scrape.
+func (m *metrics) registerGauges(e *Entry) {
 	m.gauge("peridotknot_manifest_revision", "Revision of the manifest in force.", func() float64 {
 		if view := e.view.Load(); view != nil {
 			return float64(view.Revision)
@@ -63,11 +63,11 @@
 		return 0
 	})
 	m.gauge("peridotknot_in_flight", "Requests in progress.", func() float64 {
-		running, _ := e.load()
+		running, _ := e.requestCounts()
 		return float64(running)
 	})
 	m.gauge("peridotknot_waiting", "Requests that wait for admission.", func() float64 {
-		_, waiting := e.load()
+		_, waiting := e.requestCounts()
 		return float64(waiting)
 	})
 	m.gauge("peridotknot_owned_pools", "Pools whose engines this entry gives orders to.", func() float64 {
@@ -92,7 +92,7 @@
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, read))
 }
 
-// targetStates counts the targets by state.
+// targetStates returns the number of targets by the value of the state label.
 func (e *Entry) targetStates() map[string]int {
 	now := time.Now()
 	out := map[string]int{}
@@ -109,11 +109,11 @@
 	return out
 }
 
-// load returns the requests in progress and waiting over all pools.
-func (e *Entry) load() (running, waiting int) {
+// requestCounts returns the requests in progress and waiting over all pools.
+func (e *Entry) requestCounts() (running, waiting int) {
 	e.gates.mu.Lock()
 	defer e.gates.mu.Unlock()
-	for _, g := range e.gates.all {
+	for _, g := range e.gates.byPool {
 		r, w, _ := g.Counts()
 		running += r
 		waiting += w
--- a/pkentry/owner.go
+++ b/pkentry/owner.go
@@ -21,57 +21,58 @@
 )
 
 const (
-	ownerPrefix  = pkhead.Prefix + "owner/"
-	ownEvery     = 500 * time.Millisecond
-	orderTimeout = time.Second
-	// lostAfter is the age of a report from which on its engine counts as lost.
+	ownerPrefix       = pkhead.Prefix + "owner/"
+	ownershipInterval = 500 * time.Millisecond
+	orderTimeout      = time.Second
+	// lostAfter is the report age from which an engine counts as failed.
 	lostAfter = 3 * staleAfter
-	// takeEvery is how often an entry that does not own a pool looks whether
-	// it is free, counted in rounds of ownEvery.
-	takeEvery = 4
+	// acquireRounds is the number of ownershipInterval rounds between attempts to acquire the
+	// ownership of a pool.
+	acquireRounds = 4
 )
 
-// ownership is one pool of models that this entry owns or may come to own.
+// ownership is the state of a model pool that this entry owns or may acquire.
 type ownership struct {
 	lease pklease.Lease
 	id    pkstore.LeaseID
-	// told is the range that each engine was last ordered to hold.
-	told map[pkid.TargetID]pkid.Range
-	// demand is the highest demand of late; it fades, so that a pause between
-	// two bursts does not look like leave to reload the pool.
+	// ordered is the layer range that each engine was last ordered to hold.
+	ordered map[pkid.TargetID]pkid.Range
+	// demand is a decaying maximum of the recent demand, so that engines are not reloaded in a pause
+	// between two bursts.
 	demand float64
 }
 
-// demandFades is what remains of an old demand after a round.
-const demandFades = 0.98
+// demandDecay is the factor by which the recorded demand shrinks each round.
+const demandDecay = 0.98
 
-// owners is the pools that this entry owns or may come to own. Only its loop
-// uses it, but for what it publishes: the loop waits for the store and for
-// engines, and status must not wait with it.
+// owners holds the ownership state of all model pools. Except for owned, only the reconcilePools loop
+// accesses it. The loop blocks on calls to the store and to engines, so status requests read the
+// atomic snapshot in owned.
 type owners struct {
 	pools map[pkid.PoolID]*ownership
 	round int
 	owned atomic.Pointer[[]pkid.PoolID]
 }
 
-// ownPools takes, keeps and uses the ownership of pools of models.
-func (e *Entry) ownPools(ctx context.Context) {
+// reconcilePools acquires and renews ownership leases of model pools and sends orders to the engines
+// of owned pools.
+func (e *Entry) reconcilePools(ctx context.Context) {
 	e.owners.pools = map[pkid.PoolID]*ownership{}
-	pktimer.Every(ctx, ownEvery, func(ctx context.Context) {
+	pktimer.Every(ctx, ownershipInterval, func(ctx context.Context) {
 		view := e.view.Load()
-		if view == nil || !e.warm.Load() {
+		if view == nil || !e.loadsPolled.Load() {
 			return
 		}
 		e.owners.round++
 		for i := range view.Manifest.Models {
-			e.ownPool(ctx, &view.Manifest.Models[i])
+			e.reconcilePool(ctx, &view.Manifest.Models[i])
 		}
 		e.owners.publish(time.Now())
 	})
 	e.releasePools()
 }
 
-func (e *Entry) ownPool(ctx context.Context, m *pkmanifest.Model) {
+func (e *Entry) reconcilePool(ctx context.Context, m *pkmanifest.Model) {
 	o, found := e.owners.pools[m.Pool]
 	if !found {
 		o = &ownership{lease: pklease.Lease{Terms: pklease.DefaultTerms()}}
@@ -81,28 +82,28 @@
 	case e.stopping.Load():
 		return
 	case o.lease.Fence() != 0:
-		e.keep(ctx, o)
-	case e.mayTake(m.Pool):
-		e.take(ctx, m.Pool, o)
+		e.renew(ctx, o)
+	case e.shouldAcquire(m.Pool):
+		e.acquire(ctx, m.Pool, o)
 	}
 	if o.lease.MayOrder(time.Now(), m.Enforces) {
-		e.order(ctx, m, o)
+		e.sendOrders(ctx, m, o)
 	}
 }
 
-// mayTake says whether this entry should look for a free pool: the one that
-// rendezvous hashing puts first often, the others now and then, so that a pool
-// whose first is alive but cannot reach the store still finds an owner.
-func (e *Entry) mayTake(pool pkid.PoolID) bool {
+// shouldAcquire reports whether this entry should try to acquire a pool in this round. The entry
+// preferred by rendezvous hashing tries every acquireRounds; the others try at random with low
+// probability, in case the preferred entry is alive but cannot reach the store.
+func (e *Entry) shouldAcquire(pool pkid.PoolID) bool {
 	first, _ := pkmember.Owner(e.peers.table.Neighbors(time.Now()), ownerPrefix+string(pool))
 	if first.Instance == e.peers.table.Self().Instance {
-		return e.owners.round%takeEvery == 1
+		return e.owners.round%acquireRounds == 1
 	}
-	const seldom = 30
-	return e.owners.round%takeEvery == 1 && newRand().IntN(seldom) == 0
+	const nonPreferredOdds = 30
+	return e.owners.round%acquireRounds == 1 && newRand().IntN(nonPreferredOdds) == 0
 }
 
-func (e *Entry) take(ctx context.Context, pool pkid.PoolID, o *ownership) {
+func (e *Entry) acquire(ctx context.Context, pool pkid.PoolID, o *ownership) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	key := ownerPrefix + string(pool)
@@ -121,18 +122,18 @@
 	}
 	swapped, err := e.ports.Store.Swap(ctx, pkstore.Swap{Key: key, Value: value, Lease: id})
 	if err != nil || !swapped.Done {
-		// If the write happened and only its answer was lost, the key goes
-		// with its lease.
+		// The write may have succeeded although its response was lost; revoking the lease deletes
+		// the key.
 		_ = e.ports.Store.Revoke(ctx, id)
 		return
 	}
 	o.id = id
-	o.told = map[pkid.TargetID]pkid.Range{}
+	o.ordered = map[pkid.TargetID]pkid.Range{}
 	o.lease.Began(sent, pkid.Fence(swapped.Item.Revision))
-	e.log.Info("owns a pool", "pool", pool, "fence", o.lease.Fence())
+	e.log.Info("acquired pool ownership", "pool", pool, "fence", o.lease.Fence())
 }
 
-func (e *Entry) keep(ctx context.Context, o *ownership) {
+func (e *Entry) renew(ctx context.Context, o *ownership) {
 	now := time.Now()
 	if now.Before(o.lease.RenewAt()) {
 		return
@@ -144,12 +145,12 @@
 	case err == nil:
 		o.lease.Renewed(now)
 	case errors.Is(err, pkstore.ErrNoLease) || !o.lease.MayAct(time.Now()):
-		e.log.Warn("the ownership of a pool was lost", "fence", o.lease.Fence(), "error", err)
+		e.log.Warn("lost pool ownership", "fence", o.lease.Fence(), "error", err)
 		o.lease.Lost()
 	}
 }
 
-// releasePools ends the leases, so that the next owners need not wait.
+// releasePools revokes the leases, so that other entries can acquire the pools before they expire.
 func (e *Entry) releasePools() {
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
@@ -159,40 +160,41 @@
 		}
 		o.lease.Lost()
 		if err := e.ports.Store.Revoke(ctx, o.id); err != nil {
-			e.log.Debug("a lease was left to end by itself", "error", err)
+			e.log.Debug("failed to revoke ownership lease; it expires on its own", "error", err)
 		}
 	}
 	e.owners.publish(time.Now())
 }
 
-// order tells engines what to hold, as far as the pool can spare them.
-func (e *Entry) order(ctx context.Context, m *pkmanifest.Model, o *ownership) {
-	for _, told := range pkorder.Next(e.situation(m, o)) {
-		// Between the plan and the order this process may have been paused.
+// sendOrders sends the orders that are due to the engines of a pool while the lease is valid.
+func (e *Entry) sendOrders(ctx context.Context, m *pkmanifest.Model, o *ownership) {
+	for _, next := range pkorder.Next(e.poolState(m, o)) {
+		// The process may have been paused since the plan was made.
 		left := o.lease.Left(time.Now())
 		if left <= 0 {
 			return
 		}
 		call, cancel := context.WithTimeout(ctx, min(orderTimeout, left))
-		o.told[told.Target.Info.ID] = pkid.Range{First: told.Order.First, End: told.Order.End}
-		err := e.ports.Engines.Order(call, told.Target.Info.Addr, told.Order)
+		o.ordered[next.Target.Info.ID] = pkid.Range{First: next.Order.First, End: next.Order.End}
+		err := e.ports.Engines.Order(call, next.Target.Info.Addr, next.Order)
 		cancel()
 		switch {
 		case errors.Is(err, pkengine.ErrFenced):
-			e.log.Warn("an engine has seen a newer owner", "target", told.Target.Info.ID)
+			e.log.Warn("engine rejected an order with an outdated fencing token", "target", next.Target.Info.ID)
 			o.lease.Lost()
 			return
 		case err != nil:
-			// It may have been taken; the next round reads what came of it.
-			e.log.Warn("an order was not answered", "target", told.Target.Info.ID, "error", err)
+			// The engine may have accepted the order; its next report shows the result.
+			e.log.Warn("order to engine failed", "target", next.Target.Info.ID, "error", err)
 		default:
-			e.log.Info("ordered", "target", told.Target.Info.ID, "version", told.Order.Version, "first", told.Order.First, "end", told.Order.End)
-			told.Target.Leave(pktarget.WitnessSelf, true)
+			e.log.Info("ordered", "target", next.Target.Info.ID, "version", next.Order.Version, "first", next.Order.First, "end", next.Order.End)
+			next.Target.Leave(pktarget.WitnessSelf, true)
 		}
 	}
 }
 
-func (e *Entry) situation(m *pkmanifest.Model, o *ownership) pkorder.Situation {
+// poolState collects the input for planning the orders of a pool and updates the recorded demand.
+func (e *Entry) poolState(m *pkmanifest.Model, o *ownership) pkorder.Situation {
 	s := pkorder.Situation{Model: m, Loading: map[pkid.TargetID]pkid.Range{}, Fence: o.lease.Fence()}
 	now := time.Now()
 	for _, t := range e.pool(m.Pool) {
@@ -200,27 +202,27 @@
 			continue
 		}
 		if _, age, known := t.Reported(now); !known || age > lostAfter {
-			// An engine that does not answer adds nothing to the capacity, and
-			// ordering it again and again would hold up the others.
+			// An unresponsive engine adds no capacity, and retrying its order would delay the
+			// orders of the others.
 			continue
 		}
 		s.Targets = append(s.Targets, t)
 		if t.LeavingBy(pktarget.WitnessSelf) {
-			s.Loading[t.Info.ID] = o.told[t.Info.ID]
+			s.Loading[t.Info.ID] = o.ordered[t.Info.ID]
 		}
 	}
 	running, waiting, _ := e.gate(m.Pool).Counts()
 	others, _ := e.peers.table.Pool(now, m.Pool)
-	o.demand = max(o.demand*demandFades, float64(running+waiting+others))
+	o.demand = max(o.demand*demandDecay, float64(running+waiting+others))
 	s.Demand = o.demand
 	return s
 }
 
-// publish makes the pools that are owned at now known to status.
+// publish updates the snapshot of the pools owned at now.
 func (o *owners) publish(now time.Time) {
 	var owned []pkid.PoolID
-	for id, one := range o.pools {
-		if one.lease.MayAct(now) {
+	for id, p := range o.pools {
+		if p.lease.MayAct(now) {
 			owned = append(owned, id)
 		}
 	}
@@ -228,7 +230,7 @@
 	o.owned.Store(&owned)
 }
 
-// owned returns the pools that this entry owned when its loop last looked.
+// owned returns the pools that this entry owned at the last round.
 func (e *Entry) owned() []pkid.PoolID {
 	if owned := e.owners.owned.Load(); owned != nil {
 		return *owned
--- a/pkentry/peers.go
+++ b/pkentry/peers.go
@@ -17,14 +17,15 @@
 )
 
 const (
-	tendPeersEvery = 250 * time.Millisecond
-	seedsEvery     = time.Second
-	peerTimeout    = 2 * time.Second
-	// peerSilence is longer than the longest pace between two messages.
-	peerSilence = 10 * time.Second
+	linkInterval = 250 * time.Millisecond
+	seedInterval = time.Second
+	peerTimeout  = 2 * time.Second
+	// peerIdleTimeout is how long an inbound connection may be silent; it must exceed the longest
+	// pause between two messages.
+	peerIdleTimeout = 10 * time.Second
 )
 
-// peers is the entry's side of the membership.
+// peers holds the membership table and the connections to other entries.
 type peers struct {
 	table *pkmember.Table
 	net   *pkpeer.Net[pkmember.Message]
@@ -32,40 +33,40 @@
 	mu    sync.Mutex
 	links map[pkmember.Instance]*link
 	wg    sync.WaitGroup
-	// closed lets no more listeners in.
+	// closed rejects new inbound connections.
 	closed bool
-	// wanted is the revision that was asked for last, and when.
-	wanted   pkid.Revision
-	wantedAt time.Time
+	// requestedRevision is the manifest revision requested last, at requestedAt.
+	requestedRevision pkid.Revision
+	requestedAt       time.Time
 }
 
-// wantAgain is how long an asked peer has before another one is asked.
-const wantAgain = 500 * time.Millisecond
+// manifestRetryInterval is how long a peer has to send a requested manifest before another peer is
+// asked.
+const manifestRetryInterval = 500 * time.Millisecond
 
-// mayWant says whether a revision should be asked for now. All neighbors tell
-// of a new manifest at once; asking each of them for it would bring its body
-// many times over.
-func (p *peers) mayWant(rev pkid.Revision, now time.Time) bool {
+// shouldRequest reports whether to request a manifest revision now, and records the request. All
+// neighbors announce a new revision at about the same time, and its body should be sent only once.
+func (p *peers) shouldRequest(rev pkid.Revision, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.wanted >= rev && now.Sub(p.wantedAt) < wantAgain {
+	if p.requestedRevision >= rev && now.Sub(p.requestedAt) < manifestRetryInterval {
 		return false
 	}
-	p.wanted = rev
-	p.wantedAt = now
+	p.requestedRevision = rev
+	p.requestedAt = now
 	return true
 }
 
-// link is the connection that this entry dials to one other.
+// link is the outbound connection to a peer, redialed while the peer is a member.
 type link struct {
 	to   pkmember.Member
 	stop context.CancelFunc
-	kick chan struct{}
-	// conn is the connection while it stands.
+	wake chan struct{}
+	// conn is nil while the link is not connected.
 	conn atomic.Pointer[pkpeer.Conn[pkmember.Message]]
 }
 
-// connTo returns the connection to a member; nil if there is none now.
+// connTo returns the outbound connection to a member, or nil if there is none.
 func (p *peers) connTo(id pkmember.Instance) *pkpeer.Conn[pkmember.Message] {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,16 +78,16 @@
 
 func (e *Entry) newPeers(addr string) *peers {
 	s := e.settings
-	near := pkmember.Neighborhood(s.DataCenter)
+	neighborhood := pkmember.Neighborhood(s.DataCenter)
 	if s.Peers.Neighborhood == NeighborhoodRegion {
-		near = pkmember.Neighborhood(s.Region)
+		neighborhood = pkmember.Neighborhood(s.Region)
 	}
 	self := pkmember.Member{
 		Entry:        s.Entry,
 		Instance:     pkmember.Instance(ulid.Make().String()),
 		Addr:         addr,
 		DataCenter:   s.DataCenter,
-		Neighborhood: near,
+		Neighborhood: neighborhood,
 	}
 	t := s.Peers.TLS
 	return &peers{
@@ -96,8 +97,9 @@
 	}
 }
 
-// enter counts one more listener in, unless the stop has begun.
-func (p *peers) enter() bool {
+// addInbound adds an inbound connection to the wait group. It returns false after closeAndWait was
+// called.
+func (p *peers) addInbound() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -107,44 +109,45 @@
 	return true
 }
 
-// wait lets nobody in any more and waits for links and listeners.
-func (p *peers) wait() {
+// closeAndWait rejects new inbound connections and waits for all links and connections to end.
+func (p *peers) closeAndWait() {
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
 	p.wg.Wait()
 }
 
-// others returns the neighbors without this entry.
-func (p *peers) others(now time.Time) []pkmember.Member {
+// neighbors returns the live members of the neighborhood except this entry.
+func (p *peers) neighbors(now time.Time) []pkmember.Member {
 	self := p.table.Self()
 	return slices.DeleteFunc(p.table.Neighbors(now), func(m pkmember.Member) bool { return m.Instance == self.Instance })
 }
 
-// kick makes all links send at once.
-func (p *peers) kick() {
+// wakeAll makes all links send an update immediately.
+func (p *peers) wakeAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, l := range p.links {
 		select {
-		case l.kick <- struct{}{}:
+		case l.wake <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// tendPeers keeps a link to each member that should have one.
-func (e *Entry) tendPeers(ctx context.Context) {
-	defer e.peers.wait()
+// maintainPeers maintains the links to other members, updates the targets with the peers' request
+// counts, and hands over claims when the neighborhood changes.
+func (e *Entry) maintainPeers(ctx context.Context) {
+	defer e.peers.closeAndWait()
 	var before []pkmember.Member
-	pktimer.Every(ctx, tendPeersEvery, func(ctx context.Context) {
+	pktimer.Every(ctx, linkInterval, func(ctx context.Context) {
 		now := time.Now()
 		if members := e.peers.table.Neighbors(now); !slices.Equal(members, before) {
 			before = members
 			e.peers.wg.Go(func() { e.handOverClaims(ctx, members) })
 		}
 		e.peers.table.Tend(now)
-		e.peers.relink(ctx, e, e.peers.table.Links(now))
+		e.peers.updateLinks(ctx, e, e.peers.table.Links(now))
 		counts := e.peers.table.Counts(now)
 		for _, t := range e.targets.All() {
 			t.SetPeers(counts[t.Info.ID])
@@ -152,7 +155,7 @@
 	})
 }
 
-func (p *peers) relink(ctx context.Context, e *Entry, want []pkmember.Member) {
+func (p *peers) updateLinks(ctx context.Context, e *Entry, want []pkmember.Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	wanted := map[pkmember.Instance]bool{}
@@ -161,10 +164,10 @@
 		if _, found := p.links[m.Instance]; found {
 			continue
 		}
-		inner, cancel := context.WithCancel(ctx)
-		l := &link{to: m, stop: cancel, kick: make(chan struct{}, 1)}
+		linkCtx, cancel := context.WithCancel(ctx)
+		l := &link{to: m, stop: cancel, wake: make(chan struct{}, 1)}
 		p.links[m.Instance] = l
-		p.wg.Go(func() { e.runLink(inner, l) })
+		p.wg.Go(func() { e.runLink(linkCtx, l) })
 	}
 	for id, l := range p.links {
 		if !wanted[id] {
@@ -174,11 +177,11 @@
 	}
 }
 
-// meetSeeds looks for peers at the seeds of the settings and at those that the
-// store lists, until some are known.
-func (e *Entry) meetSeeds(ctx context.Context) {
+// contactSeeds discovers peers by contacting the seeds that are not known members, and through the
+// entry keys in the store.
+func (e *Entry) contactSeeds(ctx context.Context) {
 	round := 0
-	pktimer.Every(ctx, seedsEvery, func(ctx context.Context) {
+	pktimer.Every(ctx, seedInterval, func(ctx context.Context) {
 		known := map[string]bool{}
 		for _, m := range e.peers.table.Known(time.Now()) {
 			known[m.Addr] = true
@@ -187,11 +190,11 @@
 			if known[addr] {
 				continue
 			}
-			c, _, err := e.meet(ctx, addr)
+			c, _, err := e.dialPeer(ctx, addr)
 			if err != nil {
 				continue
 			}
-			_ = c.Close() // the link that follows dials its own
+			_ = c.Close() // the link to the member dials its own connection
 		}
 		if round%registerRounds == 0 {
 			e.register(ctx)
--- a/pkentry/ports.go
+++ b/pkentry/ports.go
@@ -11,39 +11,39 @@
 	"peridotknot.example/pkstore"
 )
 
-// Store is the key-value service, with a count of the calls made.
+// Store is the key-value service with a call counter.
 type Store interface {
 	pkstore.Store
-	// Calls returns how many calls were sent, a watch counted as one.
+	// Calls returns the number of calls sent; a watch counts as one.
 	Calls() int64
 	io.Closer
 }
 
-// Platform is the list of VMs and what plain services say of their load.
+// Platform provides the VM list and the load reports of plain services.
 type Platform interface {
 	pkplatform.VMList
-	// Forget makes the next list come whole also where it is unchanged.
+	// Forget drops the cached version, so that the next call of VMs returns the full list even if it
+	// is unchanged.
 	Forget()
-	// ServiceLoad returns the load of the service at an address.
+	// ServiceLoad fetches the load of the service at addr.
 	ServiceLoad(ctx context.Context, addr string) (pkplatform.ServiceLoad, error)
 	io.Closer
 }
 
-// Engines is the model engines.
+// Engines is the client for model engines.
 type Engines interface {
 	pkengine.Engine
 	io.Closer
 }
 
-// Services is the plain services.
+// Services is the client for plain services.
 type Services interface {
-	// Do makes a call to a target that the chooser gives; the error is a
-	// *pkverdict.Error.
+	// Do sends a call to a target returned by choose; the error is a *pkverdict.Error.
 	Do(ctx context.Context, c pkservice.Call, choose pkservice.Chooser, budget pkservice.Budget) (pkservice.Reply, error)
 	io.Closer
 }
 
-// Ports are the outside systems that an entry speaks to; the entry closes them.
+// Ports holds the clients for the external systems that an entry uses; the entry closes them.
 type Ports struct {
 	Store    Store
 	Platform Platform
--- a/pkentry/record.go
+++ b/pkentry/record.go
@@ -11,8 +11,8 @@
 	"peridotknot.example/pktrace"
 )
 
-// recorder appends what is served to a trace file; a nil one records nothing.
-// It keeps sizes and deadlines, never bodies, keys or paths.
+// recorder appends the requests to a trace file; a nil recorder records nothing. It stores sizes and
+// deadlines, but never bodies, keys or paths.
 type recorder struct {
 	mu    sync.Mutex
 	file  *os.File
@@ -38,13 +38,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.file == nil {
-		return errors.New("the recording is closed")
+		return errors.New("record file is closed")
 	}
 	l.AtMS = at.Sub(r.start).Milliseconds()
 	return r.enc.Encode(l)
 }
 
-// Close closes the file.
+// Close closes the trace file; later calls of add return an error.
 func (r *recorder) Close() error {
 	if r == nil {
 		return nil
--- a/pkentry/register.go
+++ b/pkentry/register.go
@@ -12,20 +12,21 @@
 )
 
 const (
-	entryPrefix    = pkhead.Prefix + "entry/"
-	registerTTL    = 40 * time.Second
+	entryPrefix = pkhead.Prefix + "entry/"
+	registerTTL = 40 * time.Second
+	// registerRounds is the number of seedInterval rounds between renewals.
 	registerRounds = 10
 )
 
-// registration is the entry's own key in the store, by which a fresh VM
-// without seeds finds the others.
+// registration is the entry's own key in the store, through which a new VM without seeds discovers
+// the other entries.
 type registration struct {
-	lease pkstore.LeaseID
-	read  bool
+	lease       pkstore.LeaseID
+	peersListed bool
 }
 
-// register keeps the entry's key alive, and reads the others' once. At 380
-// nodes that is 38 calls a second; a node that knows peers reads no list again.
+// register renews the entry's key and, to limit the load on the store, lists the other entries' keys
+// only until the first success or while no peer is known.
 func (e *Entry) register(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -34,14 +35,14 @@
 		return
 	}
 	alone := len(e.peers.table.Known(time.Now())) == 1
-	if e.registration.read && !alone {
+	if e.registration.peersListed && !alone {
 		return
 	}
 	items, _, err := e.ports.Store.List(ctx, entryPrefix)
 	if err != nil {
 		return
 	}
-	e.registration.read = true
+	e.registration.peersListed = true
 	var known []pkmember.Member
 	for _, item := range items {
 		var m pkmember.Member
--- a/pkentry/routes.go
+++ b/pkentry/routes.go
@@ -17,8 +17,8 @@
 	"peridotknot.example/pktimer"
 )
 
-// routes keeps the plan of each want until the table changes.
-type routes struct {
+// routeCache caches route plans and the targets of each pool until the target table changes.
+type routeCache struct {
 	links pkroute.Links
 	from  pkid.DataCenter
 
@@ -30,18 +30,18 @@
 
 func (s Settings) links() pkroute.Links {
 	l := pkroute.Links{Far: 250 * time.Microsecond, Times: map[pkroute.Link]time.Duration{}}
-	for _, one := range s.Links {
-		l.Times[pkroute.Link{From: one.From, To: one.To}] = one.Time
-		l.Times[pkroute.Link{From: one.To, To: one.From}] = one.Time
+	for _, link := range s.Links {
+		l.Times[pkroute.Link{From: link.From, To: link.To}] = link.Time
+		l.Times[pkroute.Link{From: link.To, To: link.From}] = link.Time
 	}
 	return l
 }
 
-// Choose returns a chain for want that avoids some targets. If ejection leaves
-// no chain, ejected targets are tried: after a fault that failed all of them at
-// once they are more likely back than gone.
+// Choose returns a chain for want without the targets in avoid. If no chain exists without ejected
+// targets, it falls back to ejected ones, because a fault that ejects all targets at once is
+// probably transient.
 func (e *Entry) Choose(now time.Time, want pkroute.Want, avoid []pkid.TargetID) (pkroute.Chain, error) {
-	p, a := e.plan(want), e.ask(now, avoid)
+	p, a := e.plan(want), e.criteria(now, avoid)
 	c, err := p.Choose(a)
 	if err == nil {
 		return c, nil
@@ -50,9 +50,9 @@
 	return p.Choose(a)
 }
 
-// chooseTarget returns a target of a pool of services in the same way.
+// chooseTarget is like Choose for a single target of a service pool.
 func (e *Entry) chooseTarget(now time.Time, pool pkid.PoolID, avoid []pkid.TargetID) (*pktarget.Target, error) {
-	all, a := e.pool(pool), e.ask(now, avoid)
+	all, a := e.pool(pool), e.criteria(now, avoid)
 	t, err := pkroute.Service(all, a)
 	if err == nil {
 		return t, nil
@@ -61,7 +61,7 @@
 	return pkroute.Service(all, a)
 }
 
-func (e *Entry) ask(now time.Time, avoid []pkid.TargetID) pkroute.Ask {
+func (e *Entry) criteria(now time.Time, avoid []pkid.TargetID) pkroute.Ask {
 	return pkroute.Ask{Now: now, From: e.routes.from, Avoid: avoid, Links: e.routes.links, Rand: newRand(), Policy: e.settings.Policy}
 }
 
@@ -87,8 +87,8 @@
 	return p
 }
 
-// refresh forgets all plans if the table changed since they were made.
-func (r *routes) refresh(t *pktarget.Table) {
+// refresh drops all cached plans if the target table has changed. The caller holds r.mu.
+func (r *routeCache) refresh(t *pktarget.Table) {
 	changes := t.Changes()
 	if r.plans != nil && r.changes == changes {
 		return
@@ -96,8 +96,8 @@
 	r.changes = changes
 	r.plans = map[pkroute.Want]*pkroute.Plan{}
 	r.pools = map[pkid.PoolID][]*pktarget.Target{}
-	for _, one := range t.All() {
-		r.pools[one.Info.Pool] = append(r.pools[one.Info.Pool], one)
+	for _, target := range t.All() {
+		r.pools[target.Info.Pool] = append(r.pools[target.Info.Pool], target)
 	}
 }
 
@@ -113,12 +113,11 @@
 	return pkroute.Want{Pool: m.Pool, Model: m.ID, Version: m.Version, Adapter: adapter, Layers: m.Layers}
 }
 
-// wantNow returns what a new request should run on. While a roll-out goes on,
-// engines hold two versions; the manifest's own takes what it has room for and
-// the former one the rest, so that the pool's capacity is used and no request
-// is refused because the new version has no whole chain yet. A request keeps
-// its version to the end.
-func (e *Entry) wantNow(m *pkmanifest.Model, adapter pkid.AdapterID) pkroute.Want {
+// chooseWant returns what a new request should run on; a request keeps its model version until it
+// ends. During a roll-out engines hold two versions. The manifest's version is preferred while it has
+// free slots; otherwise the fastest available chain decides, so that the capacity of the previous
+// version stays in use and no request fails because the new version has no complete chain yet.
+func (e *Entry) chooseWant(m *pkmanifest.Model, adapter pkid.AdapterID) pkroute.Want {
 	want := wantOf(m, adapter)
 	versions := pkorder.Versions(m, e.pool(m.Pool))
 	if len(versions) == 1 {
@@ -127,17 +126,17 @@
 	now := time.Now()
 	best, bestStep := want, time.Duration(math.MaxInt64)
 	for _, v := range versions {
-		one := want
-		one.Version = v
-		chain, err := e.Choose(now, one, nil)
+		candidate := want
+		candidate.Version = v
+		chain, err := e.Choose(now, candidate, nil)
 		if err != nil {
 			continue
 		}
 		if v == m.Version && hasRoom(chain) {
-			return one
+			return candidate
 		}
 		if chain.Step < bestStep {
-			best, bestStep = one, chain.Step
+			best, bestStep = candidate, chain.Step
 		}
 	}
 	return best
@@ -152,12 +151,13 @@
 	return true
 }
 
-// gates keeps the gate and the retry budget of each pool.
+// gates holds the admission gate of each pool.
 type gates struct {
-	mu  sync.Mutex
-	all map[pkid.PoolID]*gate
+	mu     sync.Mutex
+	byPool map[pkid.PoolID]*gate
 }
 
+// gate is a pool's admission gate with its retry budget and its forecast of output lengths.
 type gate struct {
 	*pkadmit.Gate
 	budget *pkadmit.Budget
@@ -165,50 +165,51 @@
 }
 
 const (
-	// retryShare is how many retries each request allows, and retryMost how
-	// many can be saved up.
-	retryShare = 0.2
-	retryMost  = 200
-	tendEvery  = 20 * time.Millisecond
-	// silentServiceSlots is what a service that reports no load may get at
-	// once from all entries.
-	silentServiceSlots = 64.0
-	sizeEvery          = 10
-	// slotsBeyond lets a few more requests in than engines have slots, so
-	// that a slot that becomes free is taken without a round trip.
-	slotsBeyond = 1.3
-	// evenSlack is how much more than an even part of a pool an entry may
-	// use whatever its neighbors say.
-	evenSlack = 1.5
+	// retryRatio is the number of retries that each request adds to the retry budget, and retryBurst
+	// the size of the budget.
+	retryRatio   = 0.2
+	retryBurst   = 200
+	gateInterval = 20 * time.Millisecond
+	// unreportedServiceSlots is the concurrency limit over all entries of a service target that
+	// reports no load.
+	unreportedServiceSlots = 64.0
+	// resizeRounds is the number of gateInterval rounds between two resizes of a gate.
+	resizeRounds = 10
+	// slotOvercommit is the ratio of admitted requests to engine slots. The excess queues at the
+	// engines, so that a freed slot is reused without a round trip.
+	slotOvercommit = 1.3
+	// minShareFactor is the multiple of an even share of a pool that an entry may use regardless of
+	// its neighbors' counts.
+	minShareFactor = 1.5
 )
 
 func (e *Entry) gate(id pkid.PoolID) *gate {
 	e.gates.mu.Lock()
 	defer e.gates.mu.Unlock()
-	if g, found := e.gates.all[id]; found {
+	if g, found := e.gates.byPool[id]; found {
 		return g
 	}
-	if e.gates.all == nil {
-		e.gates.all = map[pkid.PoolID]*gate{}
+	if e.gates.byPool == nil {
+		e.gates.byPool = map[pkid.PoolID]*gate{}
 	}
 	g := &gate{
 		Gate:   pkadmit.NewGate(pkadmit.DefaultOptions(), e.slots(id)),
-		budget: pkadmit.NewBudget(retryShare, retryMost),
+		budget: pkadmit.NewBudget(retryRatio, retryBurst),
 	}
-	e.gates.all[id] = g
+	e.gates.byPool[id] = g
 	return g
 }
 
-// tendGates sizes the gates by what their pools can run, and refuses waiting
-// requests whose time is up.
-func (e *Entry) tendGates(ctx context.Context) {
+// maintainGates resizes the gates to the capacity of their pools and expires waiting requests that
+// can no longer meet their deadline.
+func (e *Entry) maintainGates(ctx context.Context) {
 	round := 0
-	pktimer.Every(ctx, tendEvery, func(context.Context) {
+	pktimer.Every(ctx, gateInterval, func(context.Context) {
 		now := time.Now()
 		e.gates.mu.Lock()
 		defer e.gates.mu.Unlock()
-		for id, g := range e.gates.all {
-			if round%sizeEvery == 0 {
+		for id, g := range e.gates.byPool {
+			if round%resizeRounds == 0 {
 				g.SetLimit(now, e.slots(id))
 			}
 			g.Expire(now)
@@ -217,7 +218,7 @@
 	})
 }
 
-// slots returns how many requests this entry may have in a pool at once.
+// slots returns the number of requests that this entry may have in progress in a pool.
 func (e *Entry) slots(id pkid.PoolID) int {
 	now := time.Now()
 	usable := func(t *pktarget.Target) float64 {
@@ -245,18 +246,17 @@
 	if models == 0 {
 		for _, t := range e.pool(id) {
 			if t.Usable(now) {
-				total += cmp.Or(t.Slots(), silentServiceSlots)
+				total += cmp.Or(t.Slots(), unreportedServiceSlots)
 			}
 		}
 	}
-	return max(int(e.ownShare(id, total*slotsBeyond, now)), 1)
+	return max(int(e.slotShare(id, total*slotOvercommit, now)), 1)
 }
 
-// ownShare returns this entry's share of a pool's slots: what its neighbors leave
-// free, but never less than somewhat more than an even part. Callers do not come
-// evenly, and the neighbors' counts are as old as a request takes; held to an
-// even part, callers wait at one entry for slots that stand free.
-func (e *Entry) ownShare(id pkid.PoolID, total float64, now time.Time) float64 {
+// slotShare returns this entry's share of a pool's slots: what its neighbors leave free, but at least
+// minShareFactor times an even share. Load is not spread evenly over entries and the neighbors'
+// counts lag, so a strictly even share would queue requests while slots are free.
+func (e *Entry) slotShare(id pkid.PoolID, total float64, now time.Time) float64 {
 	inFlight, neighbors := e.peers.table.Pool(now, id)
-	return max(total-float64(inFlight), min(evenSlack*total/float64(neighbors+1), total))
+	return max(total-float64(inFlight), min(minShareFactor*total/float64(neighbors+1), total))
 }
--- a/pkentry/service.go
+++ b/pkentry/service.go
@@ -24,17 +24,17 @@
 	"peridotknot.example/pkverdict"
 )
 
-// copyBuffer is the size of the pieces that bodies are passed on in.
-const copyBuffer = 16 << 10
+// copyBufferSize is the buffer size for copying response bodies.
+const copyBufferSize = 16 << 10
 
-// callService passes a call on to a plain service.
+// callService forwards a call to a plain service.
 func (e *Entry) callService(c *call) error {
-	c.key = "service:"
+	c.resource = "service:"
 	s, found := c.view.Service(c.account, pkid.ServiceID(c.r.PathValue("service")))
 	if !found {
 		return c.invalid(http.StatusNotFound, "service_not_found", "the service does not exist or is not yours to use")
 	}
-	c.key = "service:" + string(s.ID)
+	c.resource = "service:" + string(s.ID)
 	deadline, err := c.deadline()
 	if err != nil {
 		return err
@@ -66,22 +66,22 @@
 	if err != nil {
 		return err
 	}
-	err = c.pass(ctx, s, deadline, limit, g)
+	err = c.forward(ctx, s, deadline, limit, g)
 	if err != nil && failure(err).Verdict == pkverdict.NotRun {
 		release()
 	}
 	return err
 }
 
-func (c *call) pass(ctx context.Context, s *pkmanifest.Service, deadline time.Time, limit int64, g *gate) error {
+func (c *call) forward(ctx context.Context, s *pkmanifest.Service, deadline time.Time, limit int64, g *gate) error {
 	uri := servicePath(c.r.URL, s.ID)
 	idempotent := s.Repeatable(c.r.Method, uri.Path)
 	ctx, span := c.tracer.Start(ctx, "service", trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
 	header := c.r.Header.Clone()
-	// The API key is between the caller and the router.
+	// The API key must not reach the service.
 	header.Del("Authorization")
-	header.Set(pkopenai.HeaderRequestID, c.givenID())
+	header.Set(pkopenai.HeaderRequestID, c.requestID())
 	w3c.Inject(ctx, propagation.HeaderCarrier(header))
 	out := pkservice.Call{
 		Method:     c.r.Method,
@@ -99,8 +99,8 @@
 	c.metrics.repeated.Add(float64(reply.Attempts - 1))
 	span.SetAttributes(attribute.String("target", string(reply.Target.Info.ID)), attribute.Int("attempts", reply.Attempts))
 	defer reply.Target.Done()
-	defer func() { _ = reply.Response.Body.Close() }() // what was read is passed on; the rest is not needed
-	return c.reply(reply)
+	defer func() { _ = reply.Response.Body.Close() }() // unread data is discarded
+	return c.copyResponse(reply)
 }
 
 func (c *call) chooseService(pool pkid.PoolID) pkservice.Chooser {
@@ -109,26 +109,26 @@
 	}
 }
 
-// reply passes an answer on. If it breaks off, the caller's connection is cut:
-// a body that simply ended would look whole.
-func (c *call) reply(reply pkservice.Reply) error {
+// copyResponse copies a service's response to the client. If the response cannot be read to
+// its end, it aborts the client's connection, because a cleanly ended body would look complete.
+func (c *call) copyResponse(reply pkservice.Reply) error {
 	resp := reply.Response
 	pkforward.Forward(c.w.Header(), resp.Header)
-	c.w.Header().Set(pkopenai.HeaderRequestID, c.givenID())
-	// A verdict is the router's word; a service must not give it.
+	c.w.Header().Set(pkopenai.HeaderRequestID, c.requestID())
+	// Only the router sets the verdict header.
 	c.w.Header().Del(pkopenai.HeaderVerdict)
 	c.w.WriteHeader(resp.StatusCode)
 	control := http.NewResponseController(c.w)
-	buf := make([]byte, copyBuffer)
+	buf := make([]byte, copyBufferSize)
 	for {
 		n, err := resp.Body.Read(buf)
 		if n > 0 {
 			if _, werr := c.w.Write(buf[:n]); werr != nil {
-				return fmt.Errorf("%w: %w", errBegun, werr)
+				return fmt.Errorf("%w: %w", errResponseStarted, werr)
 			}
 			if resp.ContentLength < 0 {
 				if ferr := control.Flush(); ferr != nil {
-					return fmt.Errorf("%w: %w", errBegun, ferr)
+					return fmt.Errorf("%w: %w", errResponseStarted, ferr)
 				}
 			}
 		}
@@ -138,7 +138,7 @@
 		}
 		if err != nil {
 			reply.Target.Failed(time.Now())
-			c.log.Warn("an answer broke off", "request_id", c.givenID(), "target", reply.Target.Info.ID, "error", err)
+			c.log.Warn("failed to read service response; aborting client connection", "request_id", c.requestID(), "target", reply.Target.Info.ID, "error", err)
 			panic(http.ErrAbortHandler)
 		}
 	}
@@ -155,11 +155,11 @@
 		DeadlineMS: deadline.Sub(c.began).Milliseconds(),
 	})
 	if err != nil {
-		c.log.Warn("the call was not recorded", "error", err)
+		c.log.Warn("failed to record call", "error", err)
 	}
 }
 
-// servicePath returns the URL as the service should see it.
+// servicePath returns the path and query of u without the prefix of the service.
 func servicePath(u *url.URL, id pkid.ServiceID) *url.URL {
 	prefix := servicePrefix + string(id)
 	out := &url.URL{Path: strings.TrimPrefix(u.Path, prefix), RawQuery: u.RawQuery}
--- a/pkentry/settings.go
+++ b/pkentry/settings.go
@@ -11,14 +11,13 @@
 	"peridotknot.example/pkyaml"
 )
 
-// Settings is what an entry learns from its settings file.
+// Settings is the content of an entry's settings file.
 type Settings struct {
 	Entry      pkid.EntryID    `yaml:"entry"`
 	Region     pkid.Region     `yaml:"region"`
 	DataCenter pkid.DataCenter `yaml:"data_center"`
 	Listen     Listen          `yaml:"listen"`
-	// Store and Platform are host and port of the key-value service and of
-	// the VM list.
+	// Store and Platform are the IP:port addresses of the key-value service and of the VM list.
 	Store    string      `yaml:"store"`
 	Platform string      `yaml:"platform"`
 	Peers    Peers       `yaml:"peers"`
@@ -26,64 +25,65 @@
 	Log      Log         `yaml:"log"`
 	Stop     Stop        `yaml:"stop"`
 	Trace    TraceExport `yaml:"trace"`
-	// Policy is how targets are chosen, for comparison; empty is the best one.
+	// Policy selects how targets are chosen. Empty is the default, by cost; the others serve
+	// comparisons.
 	Policy pkroute.Policy `yaml:"policy"`
-	// Record is the file that a trace of what is served is appended to.
+	// Record is the file that a trace of the requests is appended to; empty records none.
 	Record string `yaml:"record"`
 }
 
-// Listen is the addresses an entry listens on.
+// Listen holds the addresses that an entry listens on, each as IP:port. Peers may be empty.
 type Listen struct {
 	Callers string `yaml:"callers"`
 	Admin   string `yaml:"admin"`
 	Peers   string `yaml:"peers"`
-	// Profile serves processor and memory profiles on the admin address.
+	// Profile enables the pprof endpoints on the admin address.
 	Profile bool `yaml:"profile"`
 }
 
-// Peers says how an entry finds and meets the others.
+// Peers configures how an entry discovers and connects to other entries.
 type Peers struct {
-	// Seeds are peer addresses to try first.
+	// Seeds are the addresses of peers to contact for discovery.
 	Seeds []string `yaml:"seeds"`
-	// Neighborhood is data_center or region: how far full detail is shared.
+	// Neighborhood is the scope within which full state is shared: data_center or region.
 	Neighborhood string `yaml:"neighborhood"`
 	TLS          TLS    `yaml:"tls"`
 }
 
-// TLS names the files of a mutual TLS identity; empty names mean no TLS.
+// TLS names the PEM files for mutual TLS between entries; the zero value disables TLS.
 type TLS struct {
 	Cert string `yaml:"cert"`
 	Key  string `yaml:"key"`
 	CA   string `yaml:"ca"`
 }
 
-// LinkTime is the one-way time between two data centres.
+// LinkTime is the one-way network latency between two data centres.
 type LinkTime struct {
 	From pkid.DataCenter `yaml:"from"`
 	To   pkid.DataCenter `yaml:"to"`
 	Time time.Duration   `yaml:"time"`
 }
 
-// Log says what is logged and how.
+// Log configures the log level and format.
 type Log struct {
 	Level  string `yaml:"level"`
 	Format string `yaml:"format"`
 }
 
-// Stop bounds a planned stop.
+// Stop configures the graceful shutdown.
 type Stop struct {
-	// Delay is how long the balancer may still send after /readyz fails.
+	// Delay is how long new requests are still accepted after /readyz reports not ready.
 	Delay time.Duration `yaml:"delay"`
-	// Limit bounds the whole stop.
+	// Limit bounds the shutdown, Delay included, before requests in progress are aborted.
 	Limit time.Duration `yaml:"limit"`
 }
 
-// TraceExport says where spans go; an empty address exports none.
+// TraceExport configures the export of spans; an empty OTLP address disables it.
 type TraceExport struct {
 	OTLP string `yaml:"otlp"`
 }
 
-// Values of settings.
+// Allowed values of Peers.Neighborhood and Log.Format.
 const (
 	NeighborhoodDataCenter = "data_center"
 	NeighborhoodRegion     = "region"
@@ -91,8 +91,7 @@
 	LogJSON                = "json"
 )
 
-// ParseSettings reads and checks a settings file; the error is a
-// pkyaml.Faults.
+// ParseSettings decodes and validates a settings file; the error is a pkyaml.Faults.
 func ParseSettings(file string, body []byte) (Settings, error) {
 	s, doc, err := pkyaml.Decode[Settings](file, body)
 	if err != nil {
@@ -104,7 +103,7 @@
 	c.Want(s.DataCenter != "", "data_center is missing", "data_center")
 	c.Want(isAddress(s.Listen.Callers), "listen.callers: expected IP:port", "listen", "callers")
 	c.Want(isAddress(s.Listen.Admin), "listen.admin: expected IP:port", "listen", "admin")
-	c.Want(s.Listen.Peers == "" || isReachable(s.Listen.Peers), "listen.peers: expected IP:port by which the other entries reach this one", "listen", "peers")
+	c.Want(s.Listen.Peers == "" || isAdvertisable(s.Listen.Peers), "listen.peers: expected IP:port by which the other entries reach this one", "listen", "peers")
 	c.Want(isAddress(s.Store), "store: expected IP:port", "store")
 	c.Want(isAddress(s.Platform), "platform: expected IP:port", "platform")
 	for i, seed := range s.Peers.Seeds {
@@ -140,8 +139,9 @@
 	return s
 }
 
-// isReachable says whether others can be told addr as it stands.
-func isReachable(addr string) bool {
+// isAdvertisable reports whether addr can be sent to peers as it is, which excludes the unspecified
+// address.
+func isAdvertisable(addr string) bool {
 	host, _, err := net.SplitHostPort(addr)
 	return err == nil && isAddress(addr) && !net.ParseIP(host).IsUnspecified()
 }
--- a/pkentry/share.go
+++ b/pkentry/share.go
@@ -9,8 +9,8 @@
 	"peridotknot.example/pktarget"
 )
 
-// told is what one peer was told on the present connection.
-type told struct {
+// sentState is the state already sent to a peer on the current connection.
+type sentState struct {
 	refs     pkmember.Refs
 	counts   map[pkid.TargetID]int64
 	pools    map[pkid.PoolID]pkmember.PoolCount
@@ -19,8 +19,8 @@
 	known    map[pkmember.Instance]bool
 }
 
-func newTold() *told {
-	return &told{
+func newSentState() *sentState {
+	return &sentState{
 		counts:   map[pkid.TargetID]int64{},
 		pools:    map[pkid.PoolID]pkmember.PoolCount{},
 		reports:  map[pkid.TargetID]pktarget.Report{},
@@ -29,9 +29,9 @@
 	}
 }
 
-// nextShare returns what changed since the last Share to a peer. Those outside
-// the neighborhood get no detail.
-func (e *Entry) nextShare(t *told, near bool) *pkmember.Share {
+// nextShare returns the changes since the last Share to a peer. Peers outside the neighborhood get
+// only the manifest revision and the known members.
+func (e *Entry) nextShare(t *sentState, sameNeighborhood bool) *pkmember.Share {
 	s := &pkmember.Share{}
 	if view := e.view.Load(); view != nil {
 		s.Revision, s.Digest = view.Revision, view.Digest
@@ -42,17 +42,18 @@
 			s.Known = append(s.Known, m)
 		}
 	}
-	if !near {
+	if !sameNeighborhood {
 		return s
 	}
-	e.shareCounts(s, t)
-	e.shareReports(s, t)
+	e.addCounts(s, t)
+	e.addReports(s, t)
 	return s
 }
 
-func (e *Entry) shareCounts(s *pkmember.Share, t *told) {
-	for _, one := range e.targets.All() {
-		id, n := one.Info.ID, one.Own()
+// addCounts adds the changed request counts of targets and pools to s.
+func (e *Entry) addCounts(s *pkmember.Share, t *sentState) {
+	for _, target := range e.targets.All() {
+		id, n := target.Info.ID, target.Own()
 		if n != t.counts[id] {
 			t.counts[id] = n
 			s.Refs = append(s.Refs, t.refs.Of(id, s))
@@ -61,7 +62,7 @@
 	}
 	e.gates.mu.Lock()
 	defer e.gates.mu.Unlock()
-	for id, g := range e.gates.all {
+	for id, g := range e.gates.byPool {
 		running, waiting, _ := g.Counts()
 		p := pkmember.PoolCount{Pool: id, InFlight: running, Waiting: waiting}
 		if t.pools[id] != p {
@@ -71,15 +72,15 @@
 	}
 }
 
-// shareReports tells of the targets that this entry looks after.
-func (e *Entry) shareReports(s *pkmember.Share, t *told) {
+// addReports adds the changed reports of the targets that this entry polls to s.
+func (e *Entry) addReports(s *pkmember.Share, t *sentState) {
 	members := e.peers.table.Neighbors(time.Now())
-	for _, one := range e.targets.All() {
-		id := one.Info.ID
-		if !e.looksAfter(members, id) {
+	for _, target := range e.targets.All() {
+		id := target.Info.ID
+		if !e.isPoller(members, id) {
 			continue
 		}
-		r, h := one.Numbers()
+		r, h := target.Numbers()
 		if r.MaxBatch == 0 {
 			continue
 		}
@@ -97,7 +98,7 @@
 			StepUS:    r.Step.Microseconds(),
 			PerSeqUS:  r.PerSeq.Microseconds(),
 			PrefillUS: r.Prefill.Microseconds(),
-			Leaving:   one.LeavingBy(pktarget.WitnessSelf),
+			Leaving:   target.LeavingBy(pktarget.WitnessSelf),
 		}
 		if changedHolding {
 			t.holdings[id] = h
@@ -107,13 +108,14 @@
 	}
 }
 
-func (e *Entry) looksAfter(members []pkmember.Member, id pkid.TargetID) bool {
+// isPoller reports whether this entry is the one among members that polls a target's load.
+func (e *Entry) isPoller(members []pkmember.Member, id pkid.TargetID) bool {
 	owner, _ := pkmember.Owner(members, string(id))
 	return owner.Instance == e.peers.table.Self().Instance
 }
 
-// takeReports takes over what a neighbor read from the targets it looks after.
-func (e *Entry) takeReports(reports []pkmember.Report, now time.Time) {
+// applyReports applies a neighbor's reports of the targets that it polls.
+func (e *Entry) applyReports(reports []pkmember.Report, now time.Time) {
 	for _, r := range reports {
 		t, found := e.targets.Find(r.Target)
 		if !found {
--- a/pkentry/targets.go
+++ b/pkentry/targets.go
@@ -14,16 +14,17 @@
 )
 
 const (
-	vmsEvery    = 500 * time.Millisecond
-	loadsEvery  = 200 * time.Millisecond
-	loadTimeout = 500 * time.Millisecond
-	loadsAtOnce = 32
-	staleAfter  = 2 * time.Second
+	vmPollInterval     = 500 * time.Millisecond
+	loadPollInterval   = 200 * time.Millisecond
+	loadTimeout        = 500 * time.Millisecond
+	maxConcurrentLoads = 32
+	// staleAfter is the age from which a load report counts as stale.
+	staleAfter = 2 * time.Second
 )
 
-// followVMs keeps the table up to date with the platform's list.
-func (e *Entry) followVMs(ctx context.Context) {
-	pktimer.Every(ctx, vmsEvery, func(ctx context.Context) {
+// pollVMs keeps the target table in sync with the platform's VM list.
+func (e *Entry) pollVMs(ctx context.Context) {
+	pktimer.Every(ctx, vmPollInterval, func(ctx context.Context) {
 		call, cancel := context.WithTimeout(ctx, storeTimeout)
 		defer cancel()
 		list, err := e.ports.Platform.VMs(call)
@@ -32,7 +33,7 @@
 		}
 		if err != nil {
 			if ctx.Err() == nil {
-				e.log.Warn("the VM list cannot be read; the last one stays", "error", err)
+				e.log.Warn("failed to read the VM list; keeping the last one", "error", err)
 			}
 			return
 		}
@@ -41,42 +42,43 @@
 			e.log.Info("targets changed", "added", c.Added, "dropped", c.Dropped)
 		}
 		if c.Kept > 0 {
-			// Whether they stay depends on calls too, so the same list must
-			// be applied again.
+			// Whether these targets are dropped also depends on failed calls, so the list must be
+			// applied again even if it is unchanged.
 			e.ports.Platform.Forget()
-			e.log.Warn("the VM list lost more than half of a pool; its targets stay until calls fail too", "kept", c.Kept)
+			e.log.Warn("VM list lost more than half of a pool; keeping its targets until calls to them fail", "kept", c.Kept)
 		}
 	})
 }
 
-// followLoads asks targets for their load.
-func (e *Entry) followLoads(ctx context.Context) {
-	pktimer.Every(ctx, loadsEvery, func(ctx context.Context) {
+// pollLoads fetches the loads of the targets assigned to this entry, and of those whose reports are
+// stale.
+func (e *Entry) pollLoads(ctx context.Context) {
+	pktimer.Every(ctx, loadPollInterval, func(ctx context.Context) {
 		var wg sync.WaitGroup
-		slots := make(chan struct{}, loadsAtOnce)
+		slots := make(chan struct{}, maxConcurrentLoads)
 		services := e.servicePools()
 		all := e.targets.All()
 		now := time.Now()
 		members := e.peers.table.Neighbors(now)
 		for _, t := range all {
-			if !e.looksAfter(members, t.Info.ID) && !stale(t, now) {
+			if !e.isPoller(members, t.Info.ID) && !stale(t, now) {
 				continue
 			}
 			slots <- struct{}{}
 			wg.Go(func() {
 				defer func() { <-slots }()
-				e.askLoad(ctx, t, services[t.Info.Pool])
+				e.pollLoad(ctx, t, services[t.Info.Pool])
 			})
 		}
 		wg.Wait()
 		if len(all) > 0 && e.view.Load() != nil {
-			e.warm.Store(true)
+			e.loadsPolled.Store(true)
 		}
 	})
 }
 
-// stale says whether a target's report is so old that its keeper among the
-// neighbors seems to be lost.
+// stale reports whether a target's last report is missing or so old that the neighbor which polls it
+// may have failed.
 func stale(t *pktarget.Target, now time.Time) bool {
 	_, age, known := t.Reported(now)
 	return !known || age > staleAfter
@@ -92,7 +94,7 @@
 	return out
 }
 
-func (e *Entry) askLoad(ctx context.Context, t *pktarget.Target, service bool) {
+func (e *Entry) pollLoad(ctx context.Context, t *pktarget.Target, service bool) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	if service {
@@ -109,7 +111,7 @@
 	e.observe(t, l, time.Now())
 }
 
-// observe records an engine's report.
+// observe applies an engine's load report to its target.
 func (e *Entry) observe(t *pktarget.Target, l pkengine.Load, now time.Time) {
 	first := false
 	if _, _, known := t.Reported(now); !known {
