--- a/pkdaemon/daemon.go
+++ b/pkdaemon/daemon.go
@@ -13,21 +13,20 @@
 )
 
 const (
-	// streamSilence is how long a stream may say nothing: four beats, so that
-	// one late beat is no fault and a lost engine is known within 0.6 s.
-	streamSilence = 4 * pkengine.BeatEvery
-	// serviceTries bounds how often a call to a plain service is offered: each
-	// target of a usual service, and the first once more.
-	serviceTries = 4
+	// streamIdleTimeout is how long a stream may be silent before its engine counts as failed. It
+	// spans four heartbeats to tolerate a late one.
+	streamIdleTimeout = 4 * pkengine.BeatEvery
+	// serviceAttempts is the maximum number of attempts of a call to a plain service.
+	serviceAttempts = 4
 )
 
-// New returns an entry over the adapters that its settings name.
+// New returns an entry that uses the HTTP adapters at the addresses in s.
 func New(s pkentry.Settings, log hclog.Logger, tracer trace.Tracer) (*pkentry.Entry, error) {
 	o := pkconn.DefaultOptions()
 	return pkentry.New(s, pkentry.Ports{
 		Store:    pketcd.New(s.Store, o),
 		Platform: pkplatform.New(s.Platform, o),
-		Engines:  pkengine.NewClient(o, streamSilence),
-		Services: pkservice.New(o, serviceTries),
+		Engines:  pkengine.NewClient(o, streamIdleTimeout),
+		Services: pkservice.New(o, serviceAttempts),
 	}, log, tracer)
 }
--- a/pkdaemon/doc.go
+++ b/pkdaemon/doc.go
@@ -1,4 +1,4 @@
-// Package pkdaemon wires an entry of the product's own interface to its adapters: the
-// key-value service by its JSON gateway, the VM list, model engines and plain services
-// over HTTP. Package pkentry knows them by their ports only.
+// Package pkdaemon assembles an entry from package pkentry with the adapters for its ports: the
+// key-value service through its JSON gateway, and the VM list, model engines and plain services over
+// HTTP.
 package pkdaemon
