--- a/pkservice/proxy.go
+++ b/pkservice/proxy.go
@@ -17,40 +17,40 @@
 	"peridotknot.example/pkverdict"
 )
 
-// Chooser chooses a target that is none of avoid.
+// Chooser returns a target that is not in avoid.
 type Chooser func(now time.Time, avoid []pkid.TargetID) (*pktarget.Target, error)
 
-// Budget says whether one more attempt may be made.
+// Budget is a retry budget.
 type Budget interface {
+	// Spend takes a retry from the budget and reports whether there was one left.
 	Spend() bool
 }
 
-// Call is one call to a service.
+// Call is a call to a plain service.
 type Call struct {
 	Method string
-	// URI is the path and query as the service should see it.
+	// URI is the path and query to send to the service.
 	URI    *url.URL
 	Header http.Header
 	Body   io.Reader
-	// Size is the size of the body, or -1 if it is not known.
+	// Size is the length of the body in bytes, or -1 if unknown.
 	Size       int64
 	Idempotent bool
 }
 
-// Proxy passes calls on.
+// Proxy forwards calls to targets and retries failed ones. It is safe for concurrent use.
 type Proxy struct {
 	http     *http.Client
 	attempts int
 }
 
-// New returns a proxy that tries a call at most attempts times.
+// New returns a proxy that makes at most the given number of attempts per call.
 func New(o pkconn.Options, attempts int) *Proxy {
 	return &Proxy{
 		attempts: attempts,
 		http: &http.Client{
 			Transport: o.Transport(),
-			// A redirect is the caller's to follow; following it here would
-			// run the call twice.
+			// Redirects are returned to the client; following them here would run the call twice.
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
 	}
@@ -62,18 +62,19 @@
 	return nil
 }
 
-// Reply is the head of an answer; its body must be closed. Done must be called
-// once the body was read.
+// Reply is a service's response with its body still to be read. The receiver must close the body and
+// then call Done on the target.
 type Reply struct {
 	Response *http.Response
 	Target   *pktarget.Target
 	Attempts int
 }
 
-// Do passes a call on and returns the head of the answer; the error is a
+// Do sends a call to a target returned by choose and returns once the response headers are read. It
+// retries on other targets if the verdict, the body and the budget permit it; the error is a
 // *pkverdict.Error.
 func (p *Proxy) Do(ctx context.Context, c Call, choose Chooser, budget Budget) (Reply, error) {
-	body := &counted{Reader: c.Body}
+	body := &countingReader{Reader: c.Body}
 	verdict := pkverdict.NotRun
 	var avoid []pkid.TargetID
 	for attempt := 1; ; attempt++ {
@@ -81,7 +82,7 @@
 		if err != nil {
 			return Reply{}, &pkverdict.Error{Verdict: verdict, Reason: pkverdict.ReasonNoRoute, Err: err}
 		}
-		resp, err := p.once(ctx, c, body, t)
+		resp, err := p.sendOnce(ctx, c, body, t)
 		if err == nil {
 			return Reply{Response: resp, Target: t, Attempts: attempt}, nil
 		}
@@ -97,15 +98,15 @@
 		}
 		t.Failed(time.Now())
 		avoid = append(avoid, t.Info.ID)
-		// A body that was read in part cannot be sent again from its start.
-		again := verdict.MayRepeat(c.Idempotent) && body.n.Load() == 0
-		if !again || attempt >= p.attempts || !budget.Spend() {
+		// A partly read body cannot be replayed.
+		retry := verdict.MayRepeat(c.Idempotent) && body.n.Load() == 0
+		if !retry || attempt >= p.attempts || !budget.Spend() {
 			return Reply{}, failure
 		}
 	}
 }
 
-func (p *Proxy) once(ctx context.Context, c Call, body io.Reader, t *pktarget.Target) (*http.Response, error) {
+func (p *Proxy) sendOnce(ctx context.Context, c Call, body io.Reader, t *pktarget.Target) (*http.Response, error) {
 	var track pkconn.Tracker
 	target := url.URL{Scheme: "http", Host: t.Info.Addr, Path: c.URI.Path, RawPath: c.URI.RawPath, RawQuery: c.URI.RawQuery}
 	req, err := http.NewRequestWithContext(track.Trace(ctx), c.Method, target.String(), pkconn.Once(body))
@@ -114,8 +115,8 @@
 	}
 	req.ContentLength = c.Size
 	if c.Size == 0 {
-		// Zero with a body set would read as "unknown"; net/http looks for a
-		// first byte, finds none and sends no body.
+		// net/http takes zero with a non-nil body for unknown as well. For methods that usually have
+		// no body it then probes for a first byte, and sends no body if there is none.
 		req.ContentLength = -1
 	}
 	pkforward.Forward(req.Header, c.Header)
@@ -129,13 +130,13 @@
 	return nil, &pkverdict.Error{
 		Verdict: pkverdict.Decide(progress),
 		Reason:  pkverdict.ReasonTargetLost,
-		Err:     fmt.Errorf("call %s: %w", t.Info.ID, cause(err)),
+		Err:     fmt.Errorf("call %s: %w", t.Info.ID, withoutURL(err)),
 	}
 }
 
-// cause drops the URL that net/http puts in front of errors: a path can hold
-// a person's data, and errors are logged.
-func cause(err error) error {
+// withoutURL unwraps a *url.Error, because its text contains the URL: errors are logged, and paths can
+// contain personal data.
+func withoutURL(err error) error {
 	var u *url.Error
 	if errors.As(err, &u) {
 		return u.Err
@@ -143,14 +144,14 @@
 	return err
 }
 
-// counted counts the bytes read from a body.
-type counted struct {
+// countingReader counts the bytes read from a body; a nil Reader is an empty body.
+type countingReader struct {
 	io.Reader
 	n atomic.Int64
 }
 
-// Read reads from the body.
-func (b *counted) Read(p []byte) (int, error) {
+// Read implements io.Reader.
+func (b *countingReader) Read(p []byte) (int, error) {
 	if b.Reader == nil {
 		return 0, io.EOF
 	}
--- a/pkservice/proxy_test.go
+++ b/pkservice/proxy_test.go
@@ -23,36 +23,36 @@
 	"peridotknot.example/pkverdict"
 )
 
-// behavior is what a service does with the call under test.
+// behavior is how a service handles the call under test.
 type behavior string
 
 const (
-	answers     behavior = "answers"
-	unreachable behavior = "cannot be reached"
-	closesFirst behavior = "closes before reading"
-	closesAfter behavior = "closes after reading"
-	cutsHead    behavior = "cuts the head of the answer"
-	talksNoHTTP behavior = "answers no HTTP"
-	staysSilent behavior = "stays silent"
-	answers503  behavior = "answers 503"
+	answers             behavior = "answers"
+	unreachable         behavior = "cannot be reached"
+	closesBeforeReading behavior = "closes before reading"
+	closesAfterReading  behavior = "closes after reading"
+	truncatesStatusLine behavior = "truncates the status line"
+	answersNonHTTP      behavior = "answers with invalid HTTP"
+	neverAnswers        behavior = "never answers"
+	answers503          behavior = "answers 503"
 )
 
-// service is a raw server that counts the requests it read whole.
+// service is a raw TCP server that counts the requests it has read completely.
 type service struct {
 	l        net.Listener
 	behavior behavior
 	mu       sync.Mutex
 	conns    []net.Conn
 	ran      int
-	// warm answers the first request of each connection well, so that the
-	// call under test goes out on a reused one.
-	warm bool
+	// reused makes the service answer the first request of each connection successfully, so that the
+	// call under test uses a reused connection.
+	reused bool
 }
 
-func startService(t *testing.T, b behavior, warm bool) *service {
+func startService(t *testing.T, b behavior, reused bool) *service {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	s := &service{l: l, behavior: b, warm: warm}
+	s := &service{l: l, behavior: b, reused: reused}
 	go s.accept()
 	t.Cleanup(func() {
 		_ = l.Close()
@@ -80,15 +80,15 @@
 
 func (s *service) serve(c net.Conn) {
 	in := bufio.NewReader(c)
-	if s.warm {
+	if s.reused {
 		if _, err := http.ReadRequest(in); err != nil {
 			return
 		}
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	}
-	if s.behavior == closesFirst {
-		if s.warm {
-			_, _ = in.Peek(1) // the connection dies under the next request
+	if s.behavior == closesBeforeReading {
+		if s.reused {
+			_, _ = in.Peek(1) // close the connection during the next request
 		}
 		_ = c.Close()
 		return
@@ -116,11 +116,11 @@
 	case answers503:
 		fmt.Fprint(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		return true
-	case cutsHead:
+	case truncatesStatusLine:
 		fmt.Fprint(c, "HTTP/1.1 200 O")
-	case talksNoHTTP:
+	case answersNonHTTP:
 		fmt.Fprint(c, "hello\r\n\r\n")
-	case staysSilent:
+	case neverAnswers:
 		return true
 	default:
 	}
@@ -128,50 +128,48 @@
 	return false
 }
 
-type endless struct{}
+// unlimitedBudget allows every retry.
+type unlimitedBudget struct{}
 
-func (endless) Spend() bool { return true }
+func (unlimitedBudget) Spend() bool { return true }
 
-func targetAt(id, addr string) *pktarget.Target {
+func newTarget(id, addr string) *pktarget.Target {
 	return pktarget.NewTarget(pktarget.Info{ID: pkid.TargetID(id), Addr: addr})
 }
 
-// A call to a service fails, in one of the ways that services and connections
-// fail, on a fresh or on a reused connection. The caller must get the answer of
-// the other target if the call may be repeated, or else one error whose verdict
-// is true: a call that is not idempotent reaches at most one target, and is
-// told as not run only if no target read it.
+// An idempotent call must be retried on the other target. One that is not must reach at most one
+// target, with the verdict NotRun only if no target read it. Covers new and reused connections.
 func TestCallUnderFaults(t *testing.T) {
-	behaviors := []behavior{answers, unreachable, closesFirst, closesAfter, cutsHead, talksNoHTTP, staysSilent, answers503}
+	behaviors := []behavior{answers, unreachable, closesBeforeReading, closesAfterReading, truncatesStatusLine, answersNonHTTP, neverAnswers, answers503}
 	for _, b := range behaviors {
 		for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodDelete} {
 			for _, idempotent := range []bool{true, false} {
-				for _, warm := range []bool{true, false} {
-					name := fmt.Sprintf("%s/%s/idempotent %v/reused %v", b, method, idempotent, warm)
-					t.Run(name, func(t *testing.T) { callUnderFault(t, b, method, idempotent, warm) })
+				for _, reused := range []bool{true, false} {
+					name := fmt.Sprintf("%s/%s/idempotent %v/reused %v", b, method, idempotent, reused)
+					t.Run(name, func(t *testing.T) { testCallUnderFault(t, b, method, idempotent, reused) })
 				}
 			}
 		}
 	}
 }
 
-func callUnderFault(t *testing.T, b behavior, method string, idempotent, warm bool) {
-	faulty := startService(t, b, warm && b != unreachable)
+func testCallUnderFault(t *testing.T, b behavior, method string, idempotent, reused bool) {
+	faulty := startService(t, b, reused && b != unreachable)
 	healthy := startService(t, answers, false)
 	if b == unreachable {
 		assert.NilError(t, faulty.l.Close())
 	}
 	p := New(pkconn.DefaultOptions(), 3)
 	defer func() { assert.NilError(t, p.Close()) }()
-	targets := []*pktarget.Target{targetAt("faulty", faulty.l.Addr().String()), targetAt("healthy", healthy.l.Addr().String())}
+	targets := []*pktarget.Target{newTarget("faulty", faulty.l.Addr().String()), newTarget("healthy", healthy.l.Addr().String())}
 	choose := func(_ time.Time, avoid []pkid.TargetID) (*pktarget.Target, error) { return targets[len(avoid)], nil }
-	if warm && b != unreachable {
-		warmUp(t, p, targets[0])
+	if reused && b != unreachable {
+		openIdleConnection(t, p, targets[0])
 	}
-	// Only the silent service is waited out; the others answer or fail, and the
-	// limit must not decide on a busy machine.
+	// Only a service that never answers runs into the deadline; for the others it is long enough
+	// for a busy machine.
 	limit := 20 * time.Second
-	if b == staysSilent {
+	if b == neverAnswers {
 		limit = 300 * time.Millisecond
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), limit)
@@ -181,7 +179,7 @@
 		c.Body = strings.NewReader("body")
 		c.Size = 4
 	}
-	reply, err := p.Do(ctx, c, choose, endless{})
+	reply, err := p.Do(ctx, c, choose, unlimitedBudget{})
 	faulty.mu.Lock()
 	ran := faulty.ran
 	faulty.mu.Unlock()
@@ -201,13 +199,13 @@
 	if failure.Verdict == pkverdict.NotRun {
 		assert.Equal(t, ran, 0)
 	}
-	if idempotent && b != staysSilent && method != http.MethodPost {
-		t.Fatalf("a call that may be repeated was not: %v", err)
+	if idempotent && b != neverAnswers && method != http.MethodPost {
+		t.Fatalf("idempotent call was not retried: %v", err)
 	}
 }
 
-func warmUp(t *testing.T, p *Proxy, one *pktarget.Target) {
-	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+one.Info.Addr, http.NoBody)
+func openIdleConnection(t *testing.T, p *Proxy, target *pktarget.Target) {
+	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+target.Info.Addr, http.NoBody)
 	assert.NilError(t, err)
 	resp, err := p.http.Do(req)
 	assert.NilError(t, err)
@@ -215,9 +213,8 @@
 	_ = resp.Body.Close()
 }
 
-// A redirect of a service is the caller's to follow. If the router followed
-// it, a booking would be sent twice.
-func TestRedirectIsPassedOn(t *testing.T) {
+// The proxy must return redirects to the client; following them would run the call twice.
+func TestRedirectNotFollowed(t *testing.T) {
 	calls := 0
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -228,9 +225,9 @@
 	go func() { _ = srv.Serve(l) }()
 	defer func() { _ = srv.Close() }()
 	p := New(pkconn.DefaultOptions(), 3)
-	one := targetAt("one", l.Addr().String())
+	target := newTarget("one", l.Addr().String())
 	reply, err := p.Do(t.Context(), Call{Method: http.MethodPost, URI: &url.URL{Path: "/"}, Body: bytes.NewReader([]byte("b")), Size: 1},
-		func(time.Time, []pkid.TargetID) (*pktarget.Target, error) { return one, nil }, endless{})
+		func(time.Time, []pkid.TargetID) (*pktarget.Target, error) { return target, nil }, unlimitedBudget{})
 	assert.NilError(t, err)
 	_ = reply.Response.Body.Close()
 	assert.Equal(t, reply.Response.StatusCode, http.StatusTemporaryRedirect)
