--- a/pkopenai/answer.go
+++ b/pkopenai/answer.go
@@ -8,19 +8,19 @@
 	"peridotknot.example/pkid"
 )
 
-// Usage counts the tokens of a request.
+// Usage is the token usage of a request.
 type Usage struct {
 	PromptTokens     pkid.Tokens `json:"prompt_tokens"`
 	CompletionTokens pkid.Tokens `json:"completion_tokens"`
 	TotalTokens      pkid.Tokens `json:"total_tokens"`
 }
 
-// NewUsage returns the usage of a request.
+// NewUsage returns the usage for the given counts, with their total.
 func NewUsage(prompt, completion pkid.Tokens) Usage {
 	return Usage{PromptTokens: prompt, CompletionTokens: completion, TotalTokens: prompt + completion}
 }
 
-// Head is what every part of one answer repeats.
+// Head holds the fields that every chunk of a response repeats.
 type Head struct {
 	ID       pkid.RequestID
 	Model    pkid.ModelID
@@ -28,7 +28,7 @@
 	Endpoint Endpoint
 }
 
-func (h Head) prefix() string {
+func (h Head) idPrefix() string {
 	if h.Endpoint == Chat {
 		return "chatcmpl-"
 	}
@@ -46,16 +46,16 @@
 	}
 }
 
-type text struct {
+type chatMessage struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
 
 type choice struct {
-	Index        int     `json:"index"`
-	Message      *text   `json:"message,omitempty"`
-	Text         *string `json:"text,omitempty"`
-	FinishReason string  `json:"finish_reason"`
+	Index        int          `json:"index"`
+	Message      *chatMessage `json:"message,omitempty"`
+	Text         *string      `json:"text,omitempty"`
+	FinishReason string       `json:"finish_reason"`
 }
 
 type completion struct {
@@ -67,17 +67,17 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// WriteWhole answers with the whole text at once.
-func WriteWhole(w http.ResponseWriter, h Head, said, finish string, u Usage) error {
+// WriteWhole writes the complete response as one JSON body.
+func WriteWhole(w http.ResponseWriter, h Head, content, finish string, u Usage) error {
 	c := choice{FinishReason: finish}
 	if h.Endpoint == Chat {
-		c.Message = &text{Role: "assistant", Content: said}
+		c.Message = &chatMessage{Role: "assistant", Content: content}
 	} else {
-		c.Text = &said
+		c.Text = &content
 	}
 	w.Header().Set("Content-Type", "application/json")
 	return json.NewEncoder(w).Encode(completion{
-		ID:      h.prefix() + string(h.ID),
+		ID:      h.idPrefix() + string(h.ID),
 		Object:  h.object(false),
 		Created: h.Created.Unix(),
 		Model:   string(h.Model),
@@ -93,7 +93,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// WriteModels answers with the models that an account may use.
+// WriteModels writes the list of models.
 func WriteModels(w http.ResponseWriter, ids []pkid.ModelID) error {
 	list := struct {
 		Object string  `json:"object"`
--- a/pkopenai/doc.go
+++ b/pkopenai/doc.go
@@ -1,4 +1,3 @@
-// Package pkopenai reads and writes the OpenAI HTTP API as callers speak it:
-// models, chat completions and completions, whole or as server-sent events.
-// It is an adapter; nothing in it decides.
+// Package pkopenai decodes requests and encodes responses of the OpenAI HTTP API: models, chat
+// completions and completions, as one JSON body or as server-sent events.
 package pkopenai
--- a/pkopenai/failure.go
+++ b/pkopenai/failure.go
@@ -10,14 +10,14 @@
 	"peridotknot.example/pkverdict"
 )
 
-// Headers of answers.
+// Headers of requests and responses.
 const (
 	HeaderVerdict   = "X-Peridotknot-Verdict"
 	HeaderRequestID = "X-Request-Id"
 	HeaderDeadline  = "X-Request-Timeout"
 )
 
-// Failure is an error as callers get it.
+// Failure is an error response.
 type Failure struct {
 	Status     int
 	Type       string
@@ -28,10 +28,10 @@
 	RetryAfter time.Duration
 }
 
-// Error returns the message and the verdict.
+// Error returns the message followed by the verdict.
 func (f *Failure) Error() string { return f.Message + " (" + f.Verdict.String() + ")" }
 
-// Types of error in the published API.
+// Error types of the OpenAI API.
 const (
 	TypeInvalid  = "invalid_request_error"
 	TypeAuth     = "authentication_error"
@@ -39,11 +39,11 @@
 	TypeServer   = "server_error"
 )
 
-type failureBody struct {
-	Error failureText `json:"error"`
+type errorBody struct {
+	Error errorDetail `json:"error"`
 }
 
-type failureText struct {
+type errorDetail struct {
 	Message   string         `json:"message"`
 	Type      string         `json:"type"`
 	Param     *string        `json:"param"`
@@ -52,8 +52,8 @@
 	RequestID pkid.RequestID `json:"request_id,omitempty"`
 }
 
-func (f Failure) body() failureBody {
-	return failureBody{Error: failureText{
+func (f Failure) body() errorBody {
+	return errorBody{Error: errorDetail{
 		Message:   f.Message,
 		Type:      f.Type,
 		Code:      f.Code,
@@ -62,13 +62,13 @@
 	}}
 }
 
-// Write answers with the failure.
+// Write writes the failure as the response.
 func (f Failure) Write(w http.ResponseWriter) error {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set(HeaderVerdict, f.Verdict.String())
-	// The published clients repeat by themselves what fails with some
-	// statuses. Unless the request was not run, that would run it twice.
+	// The OpenAI clients retry some statuses on their own, which could execute a request twice.
+	// Allow it only if the request was not executed.
 	h.Set("X-Should-Retry", strconv.FormatBool(f.Verdict == pkverdict.NotRun && f.RetryAfter > 0))
 	if f.RetryAfter > 0 {
 		seconds := (f.RetryAfter + time.Second - 1) / time.Second
--- a/pkopenai/openai_test.go
+++ b/pkopenai/openai_test.go
@@ -13,18 +13,18 @@
 	"peridotknot.example/pkverdict"
 )
 
-func TestDecodeTakesThePublishedForms(t *testing.T) {
+func TestDecodeAcceptsPublishedForms(t *testing.T) {
 	cases := map[string]struct {
 		body     string
 		endpoint Endpoint
 		text     string
 	}{
-		"plain text":     {`{"model":"m","messages":[{"role":"user","content":"hi"}]}`, Chat, "<|user|>hi\n"},
-		"parts":          {`{"model":"m","messages":[{"role":"user","content":[{"type":"text","text":"a"},{"type":"text","text":"b"}]}]}`, Chat, "<|user|>ab\n"},
-		"no content":     {`{"model":"m","messages":[{"role":"assistant","content":null}]}`, Chat, "<|assistant|>\n"},
-		"unused fields":  {`{"model":"m","temperature":0.2,"user":"u","messages":[{"role":"user","content":"x","name":"n"}]}`, Chat, "<|user|>x\n"},
-		"prompt":         {`{"model":"m","prompt":"p"}`, Completion, "p"},
-		"list of prompt": {`{"model":"m","prompt":["p"]}`, Completion, "p"},
+		"plain text":    {`{"model":"m","messages":[{"role":"user","content":"hi"}]}`, Chat, "<|user|>hi\n"},
+		"parts":         {`{"model":"m","messages":[{"role":"user","content":[{"type":"text","text":"a"},{"type":"text","text":"b"}]}]}`, Chat, "<|user|>ab\n"},
+		"no content":    {`{"model":"m","messages":[{"role":"assistant","content":null}]}`, Chat, "<|assistant|>\n"},
+		"unused fields": {`{"model":"m","temperature":0.2,"user":"u","messages":[{"role":"user","content":"x","name":"n"}]}`, Chat, "<|user|>x\n"},
+		"prompt":        {`{"model":"m","prompt":"p"}`, Completion, "p"},
+		"prompt list":   {`{"model":"m","prompt":["p"]}`, Completion, "p"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -35,8 +35,7 @@
 	}
 }
 
-// A caller joins the chunks of a stream. Whatever text a model makes, what the
-// caller reads must be that very text.
+// Guards against chunks whose JSON does not decode to the text that the model generated.
 func FuzzStream(f *testing.F) {
 	f.Add("plain", "with \"quotes\" \\ and \n lines")
 	f.Add("Brücke", "\x00\x7f</script>\u2028")
@@ -49,9 +48,8 @@
 	})
 }
 
-// The published clients repeat what fails with some statuses by themselves. A
-// failure that may have run must tell them not to.
-func TestFailureTellsClientsWhetherToRepeat(t *testing.T) {
+// Guards against client retries of a request that may have been executed.
+func TestFailureTellsClientsWhetherToRetry(t *testing.T) {
 	for verdict, want := range map[pkverdict.Verdict]string{pkverdict.NotRun: "true", pkverdict.MayHaveRun: "false"} {
 		w := httptest.NewRecorder()
 		f := Failure{Status: 503, Code: "x", Verdict: verdict, RequestID: pkid.RequestID("r"), RetryAfter: 1500 * time.Millisecond}
--- a/pkopenai/request.go
+++ b/pkopenai/request.go
@@ -11,8 +11,8 @@
 	"peridotknot.example/pkid"
 )
 
-// Request is a chat completion or completion as far as the router acts on it;
-// other published fields are accepted and not used.
+// Request is a chat completion or completion request. It holds the fields that the router uses;
+// other fields of the API are accepted and ignored.
 type Request struct {
 	Model    string    `json:"model"`
 	Messages []Message `json:"messages"`
@@ -25,21 +25,21 @@
 	StreamOptions       *StreamOptions `json:"stream_options"`
 }
 
-// StreamOptions asks for what a stream holds besides its tokens.
+// StreamOptions selects the optional events of a stream.
 type StreamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// Message is one message of a chat.
+// Message is a message of a chat.
 type Message struct {
 	Role    string  `json:"role"`
 	Content Content `json:"content"`
 }
 
-// Content is a message's text, written as a string or as a list of parts.
+// Content is the text of a message, encoded as a string or as a list of text parts.
 type Content string
 
-// UnmarshalJSON reads both forms.
+// UnmarshalJSON decodes both forms; null leaves the content unchanged.
 func (c *Content) UnmarshalJSON(raw []byte) error {
 	if bytes.Equal(raw, []byte("null")) {
 		return nil
@@ -65,10 +65,10 @@
 	return nil
 }
 
-// Prompt is the text of a completion, written as a string or a list of one.
+// Prompt is the prompt of a completion, encoded as a string or as a list of one string.
 type Prompt string
 
-// UnmarshalJSON reads both forms.
+// UnmarshalJSON decodes both forms.
 func (p *Prompt) UnmarshalJSON(raw []byte) error {
 	if len(raw) > 0 && raw[0] == '"' {
 		return json.Unmarshal(raw, (*string)(p))
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// Endpoint is one of the two forms of a model request.
+// Endpoint is the API endpoint that a model request is sent to.
 type Endpoint uint8
 
 // Endpoints.
@@ -90,7 +90,7 @@
 	Completion
 )
 
-// Decode reads a request; the error's text is fit for the caller.
+// Decode reads and validates a request. The text of the error is meant for the client.
 func Decode(body io.Reader, e Endpoint) (Request, error) {
 	var r Request
 	dec := json.NewDecoder(body)
@@ -115,7 +115,7 @@
 	return r, nil
 }
 
-// Text returns the prompt as one text.
+// Text returns the prompt, or all messages of a chat joined with their roles, as one text.
 func (r Request) Text(e Endpoint) string {
 	if e == Completion {
 		return string(r.Prompt)
@@ -131,20 +131,20 @@
 	return all.String()
 }
 
-// Max returns the most tokens that the caller wants, or other if unsaid.
-func (r Request) Max(other pkid.Tokens) pkid.Tokens {
+// Max returns the requested limit of output tokens, or fallback if the request sets none.
+func (r Request) Max(fallback pkid.Tokens) pkid.Tokens {
 	switch {
 	case r.MaxCompletionTokens != nil:
 		return pkid.Tokens(*r.MaxCompletionTokens)
 	case r.MaxTokens != nil:
 		return pkid.Tokens(*r.MaxTokens)
 	default:
-		return other
+		return fallback
 	}
 }
 
-// CountTokens estimates the tokens of a text. Admission needs the size before
-// an engine has seen the text; four bytes a token is the usual rule of thumb.
+// CountTokens estimates the token count of a text at four bytes a token. Admission needs the size
+// before an engine has tokenized the text.
 func CountTokens(text string) pkid.Tokens {
 	const bytesPerToken = 4
 	return pkid.Tokens(len(text)/bytesPerToken + 1)
--- a/pkopenai/stream.go
+++ b/pkopenai/stream.go
@@ -9,43 +9,47 @@
 	"peridotknot.example/pkid"
 )
 
-// writeLimit bounds how long a caller may take to accept what was written.
 const (
-	writeLimit = 10 * time.Second
-	renewEvery = time.Second
+	// writeTimeout bounds how long a client may take to accept written data.
+	writeTimeout = 10 * time.Second
+	// deadlineInterval is the least time between two extensions of the write deadline.
+	deadlineInterval = time.Second
 )
 
-// Stream writes an answer as server-sent events.
+// Stream writes a response as server-sent events.
 type Stream struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	head    Head
-	usage   bool
-	// before and after frame each token's text.
-	before  []byte
-	after   []byte
-	buf     []byte
-	renewed time.Time
-	begun   bool
+	w            http.ResponseWriter
+	control      *http.ResponseController
+	head         Head
+	includeUsage bool
+	// tokenPrefix and tokenSuffix enclose the text of a token in its event.
+	tokenPrefix []byte
+	tokenSuffix []byte
+	buf         []byte
+	// deadlineSet is when the write deadline was last extended.
+	deadlineSet time.Time
+	started     bool
 }
 
-// NewStream returns a stream that has written nothing yet.
-func NewStream(w http.ResponseWriter, h Head, usage bool) *Stream {
-	s := &Stream{w: w, control: http.NewResponseController(w), head: h, usage: usage}
-	s.before = s.frame()
+// NewStream returns a stream. Nothing is written before its first event; includeUsage adds an event
+// with the token usage at the end.
+func NewStream(w http.ResponseWriter, h Head, includeUsage bool) *Stream {
+	s := &Stream{w: w, control: http.NewResponseController(w), head: h, includeUsage: includeUsage}
+	s.tokenPrefix = s.eventPrefix()
 	if h.Endpoint == Chat {
-		s.before = append(s.before, `"choices":[{"index":0,"delta":{"content":`...)
-		s.after = []byte(`},"finish_reason":null}]}` + "\n\n")
+		s.tokenPrefix = append(s.tokenPrefix, `"choices":[{"index":0,"delta":{"content":`...)
+		s.tokenSuffix = []byte(`},"finish_reason":null}]}` + "\n\n")
 	} else {
-		s.before = append(s.before, `"choices":[{"index":0,"text":`...)
-		s.after = []byte(`,"finish_reason":null}]}` + "\n\n")
+		s.tokenPrefix = append(s.tokenPrefix, `"choices":[{"index":0,"text":`...)
+		s.tokenSuffix = []byte(`,"finish_reason":null}]}` + "\n\n")
 	}
 	return s
 }
 
-func (s *Stream) frame() []byte {
+// eventPrefix returns the opening of an event, up to its choices.
+func (s *Stream) eventPrefix() []byte {
 	b := append([]byte(nil), `data: {"id":`...)
-	b = strconv.AppendQuote(b, s.head.prefix()+string(s.head.ID))
+	b = strconv.AppendQuote(b, s.head.idPrefix()+string(s.head.ID))
 	b = append(b, `,"object":"`...)
 	b = append(b, s.head.object(true)...)
 	b = append(b, `","created":`...)
@@ -55,23 +59,23 @@
 	return append(b, ',')
 }
 
-// Begun says whether the head of the answer was written.
-func (s *Stream) Begun() bool { return s.begun }
+// Begun reports whether the status and headers have been written.
+func (s *Stream) Begun() bool { return s.started }
 
-// Token writes one token.
+// Token writes the event of one token.
 func (s *Stream) Token(_ pkid.Index, text string) error {
 	s.buf = s.buf[:0]
-	if !s.begun {
-		s.begin()
+	if !s.started {
+		s.start()
 	}
-	s.buf = append(s.buf, s.before...)
+	s.buf = append(s.buf, s.tokenPrefix...)
 	s.buf = appendText(s.buf, text)
-	s.buf = append(s.buf, s.after...)
+	s.buf = append(s.buf, s.tokenSuffix...)
 	return s.flush()
 }
 
-func (s *Stream) begin() {
-	s.begun = true
+func (s *Stream) start() {
+	s.started = true
 	h := s.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-cache")
@@ -79,17 +83,17 @@
 	if s.head.Endpoint != Chat {
 		return
 	}
-	s.buf = append(s.buf, s.frame()...)
+	s.buf = append(s.buf, s.eventPrefix()...)
 	s.buf = append(s.buf, `"choices":[{"index":0,"delta":{"role":"assistant","content":""},"finish_reason":null}]}`+"\n\n"...)
 }
 
-// End writes the last events of a whole answer.
+// End writes the closing events of a complete response.
 func (s *Stream) End(finish string, u Usage) error {
 	s.buf = s.buf[:0]
-	if !s.begun {
-		s.begin()
+	if !s.started {
+		s.start()
 	}
-	s.buf = append(s.buf, s.frame()...)
+	s.buf = append(s.buf, s.eventPrefix()...)
 	if s.head.Endpoint == Chat {
 		s.buf = append(s.buf, `"choices":[{"index":0,"delta":{},"finish_reason":`...)
 	} else {
@@ -97,12 +101,12 @@
 	}
 	s.buf = appendText(s.buf, finish)
 	s.buf = append(s.buf, "}]}\n\n"...)
-	if s.usage {
+	if s.includeUsage {
 		raw, err := json.Marshal(u)
 		if err != nil {
 			return err
 		}
-		s.buf = append(s.buf, s.frame()...)
+		s.buf = append(s.buf, s.eventPrefix()...)
 		s.buf = append(s.buf, `"choices":[],"usage":`...)
 		s.buf = append(s.buf, raw...)
 		s.buf = append(s.buf, "}\n\n"...)
@@ -111,8 +115,8 @@
 	return s.flush()
 }
 
-// Fail writes an error event. There is no [DONE] after it, so no caller can
-// take what came before for a whole answer.
+// Fail writes an error event without a closing [DONE], so that clients don't take a truncated
+// response for a complete one.
 func (s *Stream) Fail(f Failure) error {
 	raw, err := json.Marshal(f.body())
 	if err != nil {
@@ -124,12 +128,12 @@
 	return s.flush()
 }
 
-// flush writes the buffer. The write deadline moves on as the caller keeps up:
-// a caller that stops reading would otherwise hold an engine's batch slot.
+// flush writes the buffer and extends the write deadline. A client that stops reading runs into the
+// deadline and does not hold a batch slot of an engine any longer.
 func (s *Stream) flush() error {
-	if now := time.Now(); now.Sub(s.renewed) > renewEvery {
-		s.renewed = now
-		if err := s.control.SetWriteDeadline(now.Add(writeLimit)); err != nil {
+	if now := time.Now(); now.Sub(s.deadlineSet) > deadlineInterval {
+		s.deadlineSet = now
+		if err := s.control.SetWriteDeadline(now.Add(writeTimeout)); err != nil {
 			return err
 		}
 	}
@@ -139,8 +143,8 @@
 	return s.control.Flush()
 }
 
-// appendText appends a JSON string. Most tokens are plain text, which needs no
-// escape; the encoder is for the rest.
+// appendText appends the text as a JSON string. Printable ASCII without quotes and backslashes is
+// copied as it is; other text goes through the JSON encoder.
 func appendText(b []byte, text string) []byte {
 	for i := range len(text) {
 		c := text[i]
