--- a/pktrace/exchange.go
+++ b/pktrace/exchange.go
@@ -19,47 +19,47 @@
 	"peridotknot.example/pkverdict"
 )
 
-// HeaderCall names a replayed call, so that targets can count its runs.
+// HeaderCall carries the id of a replayed call, by which targets count its executions.
 const HeaderCall = "X-Replay-Call"
 
-const maxAnswer = 16 << 20
+// maxResponseBytes bounds the size of a JSON response.
+const maxResponseBytes = 16 << 20
 
-// exchange is one request of a replay and its answer.
+// exchange is a request of a replay and its response.
 type exchange struct {
 	*session
 	line   Line
 	call   string
-	began  time.Time
+	sentAt time.Time
 	result Result
 }
 
-// Prompt returns the text that stands for a prompt of a call in a replay: its
-// length gives about as many tokens, and no two calls have the same.
+// Prompt returns the prompt sent for a replayed call. It has about the given number of tokens and
+// differs from the prompts of all other calls.
 func Prompt(call string, tokens int) string {
 	const bytesPerToken = 4
 	text := "replay " + call + " "
 	return text + strings.Repeat("word", max(tokens-len(text)/bytesPerToken-4, 0))
 }
 
-// Mark returns the mark that stand-in engines put into each token of the answer
-// to a prompt, so that a token that reaches the wrong caller shows.
+// Mark returns the mark that stand-in engines put into each token of the answer to a prompt. It
+// reveals tokens that are delivered to the wrong caller.
 func Mark(prompt string) string {
 	return strconv.FormatUint(xxhash.Sum64String(prompt)&0xffffff, 36)
 }
 
-// chatMark returns the mark of a prompt that is sent as the one message of a
-// chat.
+// chatMark returns the mark for a prompt that is sent as the only message of a chat.
 func chatMark(prompt string) string {
 	r := pkopenai.Request{Messages: []pkopenai.Message{{Role: "user", Content: pkopenai.Content(prompt)}}}
 	return Mark(r.Text(pkopenai.Chat))
 }
 
 func (e *exchange) send(ctx context.Context, method, path string, body []byte) (*http.Response, error) {
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+e.entry()+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+e.nextEntry()+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	// The client here must not repeat a request by itself either.
+	// Without GetBody, the HTTP client cannot retry the request on its own.
 	req.GetBody = nil
 	req.Header.Set("Authorization", "Bearer "+e.Keys[e.line.Account])
 	req.Header.Set("Content-Type", "application/json")
@@ -68,7 +68,8 @@
 	return e.http.Do(req)
 }
 
-func (e *exchange) model(ctx context.Context) {
+// chatCompletion sends a chat completion request and checks the response.
+func (e *exchange) chatCompletion(ctx context.Context) {
 	prompt := Prompt(e.call, int(e.line.PromptTokens))
 	body, err := json.Marshal(map[string]any{
 		"model":      e.line.Model,
@@ -77,26 +78,27 @@
 		"messages":   []map[string]string{{"role": "user", "content": prompt}},
 	})
 	if err != nil {
-		e.lost(err)
+		e.recordLost(err)
 		return
 	}
 	resp, err := e.send(ctx, http.MethodPost, "/v1/chat/completions", body)
 	if err != nil {
-		e.lost(err)
+		e.recordLost(err)
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		e.refused(resp)
+		e.recordRefusal(resp)
 		return
 	}
 	if e.line.Stream {
-		e.stream(resp.Body, chatMark(prompt))
+		e.readStream(resp.Body, chatMark(prompt))
 		return
 	}
-	e.whole(resp.Body, chatMark(prompt))
+	e.readCompletion(resp.Body, chatMark(prompt))
 }
 
+// chunk is a chunk of a stream or a response sent as one JSON body.
 type chunk struct {
 	Choices []struct {
 		Delta struct {
@@ -112,41 +114,42 @@
 	} `json:"error"`
 }
 
-func (e *exchange) stream(body io.Reader, mark string) {
+func (e *exchange) readStream(body io.Reader, mark string) {
 	lines := bufio.NewScanner(body)
-	last := e.began
+	last := e.sentAt
 	for lines.Scan() {
 		data, found := bytes.CutPrefix(lines.Bytes(), []byte("data: "))
 		if !found {
 			continue
 		}
 		if string(data) == "[DONE]" {
-			e.done()
+			e.checkComplete()
 			return
 		}
 		var c chunk
 		if err := json.Unmarshal(data, &c); err != nil {
-			e.lost(err)
+			e.recordLost(err)
 			return
 		}
 		if c.Error != nil {
-			e.lost(fmt.Errorf("after %d tokens: %s (%s)", e.result.Tokens, c.Error.Message, c.Error.Verdict))
+			e.recordLost(fmt.Errorf("after %d tokens: %s (%s)", e.result.Tokens, c.Error.Message, c.Error.Verdict))
 			return
 		}
-		for _, one := range c.Choices {
-			if one.Delta.Content == "" {
+		for _, choice := range c.Choices {
+			if choice.Delta.Content == "" {
 				continue
 			}
-			if !e.token(one.Delta.Content, mark, &last) {
+			if !e.checkToken(choice.Delta.Content, mark, &last) {
 				return
 			}
 		}
 	}
-	e.lost(fmt.Errorf("the stream ended after %d tokens without [DONE]: %w", e.result.Tokens, cmp.Or(lines.Err(), io.ErrUnexpectedEOF)))
+	e.recordLost(fmt.Errorf("the stream ended after %d tokens without [DONE]: %w", e.result.Tokens, cmp.Or(lines.Err(), io.ErrUnexpectedEOF)))
 }
 
-// token checks that a token is the next one of this very answer.
-func (e *exchange) token(text, mark string, last *time.Time) bool {
+// checkToken checks that a token is the next one of this answer and records its timing. It reports
+// whether the stream may go on.
+func (e *exchange) checkToken(text, mark string, last *time.Time) bool {
 	now := time.Now()
 	want := mark + "." + strconv.Itoa(e.result.Tokens) + " "
 	if text != want {
@@ -161,7 +164,7 @@
 	if e.result.Tokens == 0 {
 		e.result.FirstToken = gap
 	} else {
-		e.record(gap)
+		e.recordGap(gap)
 		if gap > e.result.Gap {
 			e.result.Gap = gap
 			e.result.GapAt = now.Sub(e.start)
@@ -172,21 +175,21 @@
 	return true
 }
 
-func (e *exchange) record(gap time.Duration) {
+func (e *exchange) recordGap(gap time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	// Values outside the histogram's hour cannot come up: requests end sooner.
-	_ = e.between.RecordValue(gap.Microseconds())
+	// Requests end well within the hour that the histogram covers.
+	_ = e.tokenGaps.RecordValue(gap.Microseconds())
 }
 
-func (e *exchange) whole(body io.Reader, mark string) {
+func (e *exchange) readCompletion(body io.Reader, mark string) {
 	var c chunk
-	if err := json.NewDecoder(io.LimitReader(body, maxAnswer)).Decode(&c); err != nil {
-		e.lost(err)
+	if err := json.NewDecoder(io.LimitReader(body, maxResponseBytes)).Decode(&c); err != nil {
+		e.recordLost(err)
 		return
 	}
 	if len(c.Choices) != 1 {
-		e.lost(fmt.Errorf("the answer has %d choices", len(c.Choices)))
+		e.recordLost(fmt.Errorf("the answer has %d choices", len(c.Choices)))
 		return
 	}
 	for i, word := range strings.Fields(c.Choices[0].Message.Content) {
@@ -197,29 +200,30 @@
 		}
 		e.result.Tokens++
 	}
-	e.result.FirstToken = time.Since(e.began)
-	e.done()
+	e.result.FirstToken = time.Since(e.sentAt)
+	e.checkComplete()
 }
 
-// done checks that the answer has every token.
-func (e *exchange) done() {
+// checkComplete checks that the answer has all its tokens.
+func (e *exchange) checkComplete() {
 	if e.result.Tokens != int(e.line.OutputTokens) {
-		e.lost(fmt.Errorf("the answer has %d of %d tokens", e.result.Tokens, e.line.OutputTokens))
+		e.recordLost(fmt.Errorf("the answer has %d of %d tokens", e.result.Tokens, e.line.OutputTokens))
 		return
 	}
 	e.result.Class = Whole
 }
 
-func (e *exchange) service(ctx context.Context) {
+// serviceCall calls a service and checks that its response echoes the request.
+func (e *exchange) serviceCall(ctx context.Context) {
 	body := bytes.Repeat([]byte{'b'}, int(e.line.BodyBytes))
-	resp, err := e.send(ctx, e.line.Method, "/services/"+string(e.line.Service)+e.path(), body)
+	resp, err := e.send(ctx, e.line.Method, "/services/"+string(e.line.Service)+e.servicePath(), body)
 	if err != nil {
-		e.lost(err)
+		e.recordLost(err)
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.Header.Get(pkopenai.HeaderVerdict) != "" {
-		e.refused(resp)
+		e.recordRefusal(resp)
 		return
 	}
 	var echo struct {
@@ -227,8 +231,8 @@
 		Bytes  int64  `json:"bytes"`
 		Digest string `json:"digest"`
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&echo); err != nil {
-		e.lost(err)
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&echo); err != nil {
+		e.recordLost(err)
 		return
 	}
 	switch {
@@ -236,29 +240,29 @@
 		e.result.Class = Crossed
 		e.result.Detail = fmt.Sprintf("the answer is for call %q", echo.Call)
 	case echo.Bytes != e.line.BodyBytes || echo.Digest != strconv.FormatUint(xxhash.Sum64(body), 16):
-		e.lost(fmt.Errorf("the service got %d of %d bytes, or others", echo.Bytes, e.line.BodyBytes))
+		e.recordLost(fmt.Errorf("the service got %d of %d bytes, or others", echo.Bytes, e.line.BodyBytes))
 	default:
 		e.result.Class = Whole
 	}
 }
 
-// path stands for the recorded path, which a trace does not keep.
-func (e *exchange) path() string {
+// servicePath returns the path to call. Traces don't record paths.
+func (e *exchange) servicePath() string {
 	if e.line.Idempotent {
 		return "/records/" + e.call
 	}
 	return "/slots/" + e.call
 }
 
-func (e *exchange) refused(resp *http.Response) {
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, 400)) // only for the report's detail
+func (e *exchange) recordRefusal(resp *http.Response) {
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, 400)) // used in the report only
 	e.result.Detail = fmt.Sprintf("%d: %s", resp.StatusCode, text)
 	if resp.Header.Get(pkopenai.HeaderVerdict) == pkverdict.NotRun.String() {
 		e.result.Class = Refused
 	}
 }
 
-func (e *exchange) lost(err error) {
+func (e *exchange) recordLost(err error) {
 	e.result.Class = Lost
 	e.result.Detail = err.Error()
 }
--- a/pktrace/expect.go
+++ b/pktrace/expect.go
@@ -6,24 +6,23 @@
 	"peridotknot.example/pkyaml"
 )
 
-// Expect is the stated outcome of a trace. What must always hold (nothing
-// doubled, crossed or out of layer order, and no run call told as not run) is
-// not stated: it is checked in every replay.
+// Expect is the stated outcome of a trace. Every replay is checked as well for what no trace may
+// show: doubled or crossed answers, layers out of order, and executed calls reported as not run.
 type Expect struct {
-	// Shares are of all requests of the trace.
+	// The shares are fractions of all requests of the trace.
 	MaxLostShare    float64 `yaml:"max_lost_share" json:"max_lost_share"`
 	MaxLateShare    float64 `yaml:"max_late_share" json:"max_late_share"`
 	MaxRefusedShare float64 `yaml:"max_refused_share" json:"max_refused_share"`
-	// The 95th percentiles over the whole trace.
+	// The 95th percentiles are those of the whole trace.
 	FirstTokenP95    time.Duration `yaml:"first_token_p95" json:"first_token_p95"`
 	BetweenTokensP95 time.Duration `yaml:"between_tokens_p95" json:"between_tokens_p95"`
-	// MinGoodputShare is whole and timely tokens against the bound.
+	// MinGoodputShare is the least goodput, as a fraction of its bound.
 	MinGoodputShare float64 `yaml:"min_goodput_share" json:"min_goodput_share"`
 	// MaxRecovery bounds the recovery time of each fault.
 	MaxRecovery time.Duration `yaml:"max_recovery" json:"max_recovery"`
 }
 
-// ParseExpect reads a stated outcome; the error is a pkyaml.Faults.
+// ParseExpect parses a stated outcome. Errors in the file are returned as pkyaml.Faults.
 func ParseExpect(file string, body []byte) (Expect, error) {
 	x, doc, err := pkyaml.Decode[Expect](file, body)
 	if err != nil {
--- a/pktrace/html.go
+++ b/pktrace/html.go
@@ -11,13 +11,14 @@
 // JSON returns the report as JSON.
 func (r *Report) JSON() ([]byte, error) { return json.MarshalIndent(r, "", "  ") }
 
-// plot is one drawing of the page; its parts are in pixels.
+// plot is a plot of the page. Coordinates are in pixels.
 type plot struct {
 	Title  string
 	Bars   []bar
 	Dots   []dot
-	Faults []mark
-	Top    string
+	Faults []faultMark
+	// Top labels the upper end of the vertical axis.
+	Top string
 }
 
 type bar struct {
@@ -27,7 +28,8 @@
 
 type dot struct{ X, Y float64 }
 
-type mark struct {
+// faultMark is a vertical line at the time of a fault.
+type faultMark struct {
 	X    float64
 	Text string
 }
@@ -35,10 +37,11 @@
 const (
 	plotWidth  = 900.0
 	plotHeight = 160.0
-	bucket     = 250 * time.Millisecond
+	// bucketWidth is the time that a bar of the class plot covers.
+	bucketWidth = 250 * time.Millisecond
 )
 
-// HTML returns the report as one page that needs nothing else.
+// HTML returns the report as an HTML page without external resources.
 func (r *Report) HTML() ([]byte, error) {
 	var text bytes.Buffer
 	if err := r.WriteText(&text); err != nil {
@@ -58,58 +61,58 @@
 	return plotWidth * float64(at) / float64(max(r.Took, 1))
 }
 
-func (r *Report) marks() []mark {
-	var out []mark
+func (r *Report) faultMarks() []faultMark {
+	var out []faultMark
 	for _, v := range r.Recoveries {
-		out = append(out, mark{X: r.x(v.At), Text: string(v.Fault.Name)})
+		out = append(out, faultMark{X: r.x(v.At), Text: string(v.Fault.Name)})
 	}
 	return out
 }
 
-// classPlot stacks the classes of the requests that ended in each moment.
+// classPlot shows for each interval how many requests of each class ended in it.
 func (r *Report) classPlot() plot {
-	counts := make([][6]int, int(r.Took/bucket)+1)
-	most := 1
-	for _, one := range r.results {
-		if one.Line.Kind == KindFault {
+	counts := make([][6]int, int(r.Took/bucketWidth)+1)
+	peak := 1
+	for _, res := range r.results {
+		if res.Line.Kind == KindFault {
 			continue
 		}
-		at := min(int(one.Ended/bucket), len(counts)-1)
-		counts[at][one.Class]++
+		at := min(int(res.Ended/bucketWidth), len(counts)-1)
+		counts[at][res.Class]++
 	}
 	for _, c := range counts {
 		sum := 0
 		for _, n := range c {
 			sum += n
 		}
-		most = max(most, sum)
+		peak = max(peak, sum)
 	}
-	p := plot{Title: "requests by what became of them", Faults: r.marks(), Top: fmt.Sprintf("%d in %s", most, bucket)}
+	p := plot{Title: "requests by what became of them", Faults: r.faultMarks(), Top: fmt.Sprintf("%d in %s", peak, bucketWidth)}
 	for i, c := range counts {
 		y := plotHeight
 		for _, class := range Classes {
-			h := plotHeight * float64(c[class]) / float64(most)
+			h := plotHeight * float64(c[class]) / float64(peak)
 			y -= h
 			if h > 0 {
-				p.Bars = append(p.Bars, bar{X: r.x(time.Duration(i) * bucket), Y: y, W: r.x(bucket), H: h, Class: class.String()})
+				p.Bars = append(p.Bars, bar{X: r.x(time.Duration(i) * bucketWidth), Y: y, W: r.x(bucketWidth), H: h, Class: class.String()})
 			}
 		}
 	}
 	return p
 }
 
-// tokenPlot shows the time to the first token of each streamed answer.
+// tokenPlot shows the time to the first token of each stream.
 func (r *Report) tokenPlot() plot {
-	var most time.Duration = 1
-	for _, one := range r.results {
-		if one.Line.Stream {
-			most = max(most, one.FirstToken)
+	var peak time.Duration = 1
+	for _, res := range r.results {
+		if res.Line.Stream {
+			peak = max(peak, res.FirstToken)
 		}
 	}
-	p := plot{Title: "time to the first token", Faults: r.marks(), Top: most.Round(time.Millisecond).String()}
-	for _, one := range r.results {
-		if one.Line.Stream && one.Tokens > 0 {
-			p.Dots = append(p.Dots, dot{X: r.x(one.Began), Y: plotHeight * (1 - float64(one.FirstToken)/float64(most))})
+	p := plot{Title: "time to the first token", Faults: r.faultMarks(), Top: peak.Round(time.Millisecond).String()}
+	for _, res := range r.results {
+		if res.Line.Stream && res.Tokens > 0 {
+			p.Dots = append(p.Dots, dot{X: r.x(res.Began), Y: plotHeight * (1 - float64(res.FirstToken)/float64(peak))})
 		}
 	}
 	return p
--- a/pktrace/ledger.go
+++ b/pktrace/ledger.go
@@ -1,11 +1,12 @@
 package pktrace
 
-// Ledger is what the targets say of the calls that reached them.
+// Ledger is the targets' record of the calls that reached them.
 type Ledger struct {
-	// Runs counts how often each replayed call ran.
+	// Runs counts the executions of each replayed call.
 	Runs map[string]int `json:"runs"`
-	// Violations are breaches of layer order, Broken how many there were.
+	// Violations describe violations of the layer order, Broken counts them.
 	Violations []string `json:"violations"`
 	Broken     int      `json:"broken"`
-	StoreCalls int64    `json:"store_calls"`
+	// StoreCalls counts the calls to the key-value store.
+	StoreCalls int64 `json:"store_calls"`
 }
--- a/pktrace/line.go
+++ b/pktrace/line.go
@@ -11,17 +11,17 @@
 	"peridotknot.example/pkid"
 )
 
-// Kind says what a line of a trace is.
+// Kind is the kind of a trace line.
 type Kind string
 
-// Kinds of lines.
+// Kinds of trace lines.
 const (
 	KindModel Kind = "model"
 	KindCall  Kind = "call"
 	KindFault Kind = "fault"
 )
 
-// Line is one request or fault of a trace.
+// Line is a request or a fault of a trace. Which fields are set depends on its kind.
 type Line struct {
 	AtMS int64 `json:"at_ms"`
 	Kind Kind  `json:"kind"`
@@ -42,18 +42,18 @@
 	Fault *Fault `json:"fault,omitempty"`
 }
 
-// Fault is something that goes wrong, or a step of an operator.
+// Fault is a failure or an operator's action that is injected during a replay.
 type Fault struct {
 	Name FaultName `json:"name"`
-	// Target is what it happens to, as the stand-ins or the entries name it.
+	// Target is the name of the affected target or entry.
 	Target string `json:"target,omitempty"`
-	// ForMS is how long it lasts; zero is until the end.
+	// ForMS is the duration in milliseconds; zero lasts until the end of the replay.
 	ForMS int64 `json:"for_ms,omitempty"`
-	// ExtraMS is the time that a slow link or store adds.
+	// ExtraMS is the latency in milliseconds that a slow link or store adds.
 	ExtraMS int64 `json:"extra_ms,omitempty"`
 }
 
-// FaultName names a kind of fault.
+// FaultName is the kind of a fault.
 type FaultName string
 
 // Kinds of faults.
@@ -70,45 +70,46 @@
 	FaultLostSwap FaultName = "store_answer_lost"
 )
 
-// At returns the time of the line from the start of the trace.
+// At returns the offset of the line from the start of the trace.
 func (l Line) At() time.Duration { return time.Duration(l.AtMS) * time.Millisecond }
 
-// Deadline returns the time that the request may take.
+// Deadline returns the time within which the request must be answered.
 func (l Line) Deadline() time.Duration { return time.Duration(l.DeadlineMS) * time.Millisecond }
 
-func (l Line) check() error {
+func (l Line) validate() error {
 	if l.AtMS < 0 || l.DeadlineMS < 0 {
-		return fmt.Errorf("a time is below zero")
+		return fmt.Errorf("at_ms and deadline_ms must not be negative")
 	}
-	whole := false
+	complete := false
 	switch l.Kind {
 	case KindModel:
-		whole = l.isRequest() && l.Model != "" && l.PromptTokens > 0 && l.OutputTokens > 0
+		complete = l.hasRequestFields() && l.Model != "" && l.PromptTokens > 0 && l.OutputTokens > 0
 	case KindCall:
-		whole = l.isRequest() && l.Service != "" && l.Method != ""
+		complete = l.hasRequestFields() && l.Service != "" && l.Method != ""
 	case KindFault:
-		whole = l.Fault != nil && l.Fault.Name != ""
+		complete = l.Fault != nil && l.Fault.Name != ""
 	default:
 		return fmt.Errorf("kind is %q, expected model, call or fault", l.Kind)
 	}
-	if !whole {
-		return fmt.Errorf("a %s line needs %s", l.Kind, needs[l.Kind])
+	if !complete {
+		return fmt.Errorf("a %s line needs %s", l.Kind, requiredFields[l.Kind])
 	}
 	return nil
 }
 
-// needs says what each kind of line must have.
-var needs = map[Kind]string{
+// requiredFields names the fields that each kind of line must have.
+var requiredFields = map[Kind]string{
 	KindModel: "account, deadline_ms, model, prompt_tokens and output_tokens",
 	KindCall:  "account, deadline_ms, service and method",
 	KindFault: "fault.name",
 }
 
-func (l Line) isRequest() bool { return l.Account != "" && l.DeadlineMS > 0 }
+func (l Line) hasRequestFields() bool { return l.Account != "" && l.DeadlineMS > 0 }
 
+// maxLine is the maximum length of a line in bytes.
 const maxLine = 1 << 20
 
-// Read reads a trace; an error names file and line.
+// Read reads a trace. An error names the file and the line.
 func Read(file string, r io.Reader) ([]Line, error) {
 	var out []Line
 	in := bufio.NewScanner(r)
@@ -136,10 +137,10 @@
 	if err := dec.Decode(&l); err != nil {
 		return l, err
 	}
-	return l, l.check()
+	return l, l.validate()
 }
 
-// Write writes a trace.
+// Write writes a trace as JSON lines.
 func Write(w io.Writer, lines []Line) error {
 	enc := json.NewEncoder(w)
 	for _, l := range lines {
--- a/pktrace/replay.go
+++ b/pktrace/replay.go
@@ -15,36 +15,34 @@
 	"peridotknot.example/pktimer"
 )
 
-// Address is where an entry serves callers and operators; without an admin
-// address the entry counts as always ready.
+// Address holds the addresses at which an entry serves callers and operators. An entry without an
+// admin address is taken to be always ready.
 type Address struct {
 	Callers string
 	Admin   string
 }
 
-// Replay is a trace and what it is replayed against.
+// Replay is a trace and the deployment to replay it against.
 type Replay struct {
 	Lines []Line
-	// Entries returns the entries there are; it is asked again and again, as
-	// VMs come and go during a replay.
+	// Entries returns the current entries. It is polled, since VMs come and go during a replay.
 	Entries func() []Address
 	// Keys holds the API key of each account.
 	Keys map[pkid.AccountID]string
-	// Inject brings a fault of the trace about.
+	// Inject injects a fault of the trace.
 	Inject func(Fault) error
-	// Progress is called about once a second; nil is allowed.
+	// Progress is called about once a second; it may be nil.
 	Progress func(done, all int)
-	// Speed divides the times of the trace; zero is one.
+	// Speed divides the time offsets of the trace; zero means 1.
 	Speed float64
 }
 
 const (
-	readyEvery = 50 * time.Millisecond
-	// lateBy is how much longer than its deadline a request is waited for, to
-	// tell a late answer from a lost one.
-	lateBy         = 2 * time.Second
-	microsPerHour  = 3_600_000_000
-	histogramDigit = 3
+	readyInterval = 50 * time.Millisecond
+	// lateGrace is how long after its deadline a response is awaited, to tell late from lost.
+	lateGrace       = 2 * time.Second
+	microsPerHour   = 3_600_000_000
+	histogramDigits = 3
 )
 
 // session is a replay in progress.
@@ -53,22 +51,24 @@
 	http  *http.Client
 	start time.Time
 	next  atomic.Uint64
+	// ready holds the callers' addresses of the ready entries.
 	ready atomic.Pointer[[]string]
 	done  atomic.Int64
 
 	mu      sync.Mutex
 	results []Result
 	faults  []InjectedFault
-	between *hdrhistogram.Histogram
+	// tokenGaps holds the times between tokens in microseconds.
+	tokenGaps *hdrhistogram.Histogram
 }
 
-// InjectedFault is a fault with the time at which it came about.
+// InjectedFault is a fault with the offset at which it was injected.
 type InjectedFault struct {
 	Fault Fault
 	At    time.Duration
 }
 
-// Outcome is everything that a replay saw.
+// Outcome holds the results of a replay.
 type Outcome struct {
 	Results []Result
 	Faults  []InjectedFault
@@ -77,32 +77,32 @@
 	Between *hdrhistogram.Histogram
 }
 
-// Run replays the trace at its own pace, whatever comes back.
+// Run replays the trace. Requests are sent at their recorded times, regardless of the responses.
 func (r *Replay) Run(ctx context.Context) (Outcome, error) {
 	if r.Entries == nil || len(r.Entries()) == 0 {
-		return Outcome{}, fmt.Errorf("there is no entry to replay against")
+		return Outcome{}, fmt.Errorf("no entries to replay against")
 	}
 	for _, l := range r.Lines {
 		if _, found := r.Keys[l.Account]; !found && l.Kind != KindFault {
-			return Outcome{}, fmt.Errorf("there is no key for account %q", l.Account)
+			return Outcome{}, fmt.Errorf("no API key for account %q", l.Account)
 		}
 	}
 	s := &session{
-		Replay:  r,
-		http:    newClient(),
-		between: hdrhistogram.New(1, microsPerHour, histogramDigit),
+		Replay:    r,
+		http:      newClient(),
+		tokenGaps: hdrhistogram.New(1, microsPerHour, histogramDigits),
 	}
 	defer s.http.CloseIdleConnections()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s.pollReady(ctx)
-	var helpers sync.WaitGroup
-	defer helpers.Wait()
+	var background sync.WaitGroup
+	defer background.Wait()
 	defer cancel()
-	helpers.Go(func() { pktimer.Every(ctx, readyEvery, s.pollReady) })
-	helpers.Go(func() { pktimer.Every(ctx, time.Second, s.progress) })
-	err := s.send(ctx)
-	return Outcome{Results: s.results, Faults: s.faults, Took: time.Since(s.start), Between: s.between}, err
+	background.Go(func() { pktimer.Every(ctx, readyInterval, s.pollReady) })
+	background.Go(func() { pktimer.Every(ctx, time.Second, s.progress) })
+	err := s.sendAll(ctx)
+	return Outcome{Results: s.results, Faults: s.faults, Took: time.Since(s.start), Between: s.tokenGaps}, err
 }
 
 func newClient() *http.Client {
@@ -114,7 +114,8 @@
 	}}
 }
 
-func (s *session) send(ctx context.Context) error {
+// sendAll sends the requests and faults of the trace at their times and waits for their results.
+func (s *session) sendAll(ctx context.Context) error {
 	s.start = time.Now()
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -128,11 +129,11 @@
 			return ctx.Err()
 		}
 		if l.Kind == KindFault {
-			// Some faults wait for an answer; the trace does not wait for them.
+			// Injecting a fault may block and must not delay the trace.
 			wg.Go(func() { s.inject(*l.Fault) })
 			continue
 		}
-		wg.Go(func() { s.one(ctx, i, l) })
+		wg.Go(func() { s.replayRequest(ctx, i, l) })
 	}
 	return nil
 }
@@ -140,36 +141,36 @@
 func (s *session) inject(f Fault) {
 	at := time.Since(s.start)
 	if err := s.Inject(f); err != nil {
-		s.add(Result{Line: Line{Kind: KindFault, Fault: &f}, Class: Lost, Began: at, Ended: at, Detail: err.Error()})
+		s.addResult(Result{Line: Line{Kind: KindFault, Fault: &f}, Class: Lost, Began: at, Ended: at, Detail: err.Error()})
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = append(s.faults, InjectedFault{Fault: f, At: at})
 }
 
-func (s *session) one(ctx context.Context, i int, l Line) {
-	ctx, cancel := context.WithTimeout(ctx, l.Deadline()+lateBy)
+func (s *session) replayRequest(ctx context.Context, i int, l Line) {
+	ctx, cancel := context.WithTimeout(ctx, l.Deadline()+lateGrace)
 	defer cancel()
 	call := fmt.Sprintf("c%d", i)
-	began := time.Now()
-	e := &exchange{session: s, line: l, call: call, began: began}
+	sentAt := time.Now()
+	e := &exchange{session: s, line: l, call: call, sentAt: sentAt}
 	if l.Kind == KindModel {
-		e.model(ctx)
+		e.chatCompletion(ctx)
 	} else {
-		e.service(ctx)
+		e.serviceCall(ctx)
 	}
 	e.result.Line = l
 	e.result.Call = call
-	e.result.Began = began.Sub(s.start)
+	e.result.Began = sentAt.Sub(s.start)
 	e.result.Ended = time.Since(s.start)
-	if e.result.Class == Whole && time.Since(began) > l.Deadline() {
+	if e.result.Class == Whole && time.Since(sentAt) > l.Deadline() {
 		e.result.Class = Late
 	}
 	s.done.Add(1)
-	s.add(e.result)
+	s.addResult(e.result)
 }
 
-func (s *session) add(r Result) {
+func (s *session) addResult(r Result) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.results = append(s.results, r)
@@ -181,13 +182,13 @@
 	}
 }
 
-// entry returns the next entry that is ready, as the platform's balancer does.
-func (s *session) entry() string {
+// nextEntry returns the ready entries in turn, like the load balancer of the platform.
+func (s *session) nextEntry() string {
 	ready := *s.ready.Load()
 	return ready[s.next.Add(1)%uint64(len(ready))]
 }
 
-// pollReady notes which entries are ready; if none is, any may be tried.
+// pollReady updates the list of ready entries. If none is ready, it lists all.
 func (s *session) pollReady(ctx context.Context) {
 	var ready, all []string
 	for _, a := range s.Entries() {
@@ -213,6 +214,6 @@
 	if err != nil {
 		return false
 	}
-	_ = resp.Body.Close() // only the status counts
+	_ = resp.Body.Close() // only the status matters
 	return resp.StatusCode == http.StatusOK
 }
--- a/pktrace/report.go
+++ b/pktrace/report.go
@@ -8,107 +8,111 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report is the judgement on a replay.
+// Report compares the results of a replay with the stated outcome.
 type Report struct {
-	Name     string         `json:"name"`
-	Took     time.Duration  `json:"took_ns"`
-	Requests int            `json:"requests"`
-	Counts   map[string]int `json:"counts"`
-	// Told counts calls that ran although their caller was told that they
-	// had not.
-	Told          int         `json:"told_not_run_but_ran"`
+	Name     string        `json:"name"`
+	Took     time.Duration `json:"took_ns"`
+	Requests int           `json:"requests"`
+	// Counts holds the number of requests of each class.
+	Counts map[string]int `json:"counts"`
+	// Told counts calls that ran although they were refused as not run.
+	Told int `json:"told_not_run_but_ran"`
+	// Broken counts violations of the layer order.
 	Broken        int         `json:"layer_order_broken"`
 	FirstToken    Percentiles `json:"first_token"`
 	BetweenTokens Percentiles `json:"between_tokens"`
 	Goodput       Goodput     `json:"goodput"`
 	Recoveries    []Recovery  `json:"recoveries"`
 	StoreCalls    int64       `json:"store_calls"`
-	Misses        []string    `json:"misses"`
-	// Examples are details of requests that were not whole.
+	// Misses describe the stated outcomes that do not hold.
+	Misses []string `json:"misses"`
+	// Examples describe some requests that were not whole.
 	Examples []string `json:"examples,omitempty"`
 
 	results []Result
 }
 
-// Percentiles of a time.
+// Percentiles are percentiles of a duration.
 type Percentiles struct {
 	P50 time.Duration `json:"p50_ns"`
 	P95 time.Duration `json:"p95_ns"`
 	P99 time.Duration `json:"p99_ns"`
 }
 
-// Goodput is tokens a second of whole and timely answers against the bound.
+// Goodput is the rate of tokens in answers that were whole and in time.
 type Goodput struct {
 	TokensPerSecond float64 `json:"tokens_per_second"`
-	// Offered is what the trace asked for, Capacity what the engines could
-	// make; the bound is the lesser.
+	// Offered is the rate requested by the trace, Capacity the rate that the engines can generate or
+	// zero if unknown. The lower of the two is the bound of the goodput.
 	Offered  float64 `json:"offered"`
 	Capacity float64 `json:"capacity"`
-	Share    float64 `json:"share_of_bound"`
+	// Share is the goodput as a fraction of the bound.
+	Share float64 `json:"share_of_bound"`
 }
 
-// Recovery is what callers saw of one fault.
+// Recovery is the effect of a fault on callers.
 type Recovery struct {
 	Fault Fault         `json:"fault"`
 	At    time.Duration `json:"at_ns"`
-	// Time is from the fault to the last request or gap that it disturbed.
+	// Time is the time from the fault to the end of the last request or gap that it disturbed.
 	Time time.Duration `json:"recovery_ns"`
 	// Gap is the longest time between two tokens until the next fault.
-	Gap       time.Duration `json:"max_gap_ns"`
-	Disturbed int           `json:"disturbed"`
+	Gap time.Duration `json:"max_gap_ns"`
+	// Disturbed counts long gaps and requests that were not whole.
+	Disturbed int `json:"disturbed"`
 }
 
 const (
-	// disturbedGap is a time between tokens that a caller notices.
+	// disturbedGap is the time between two tokens above which a stream counts as disturbed.
 	disturbedGap = 250 * time.Millisecond
-	examples     = 8
+	maxExamples  = 8
 )
 
-// Judge judges a replay against a stated outcome. Capacity is the tokens a
-// second that the engines could make, or zero if it is not known.
+// Judge compares the results of a replay with the stated outcome. Capacity is the rate in tokens
+// per second that the engines can generate, or zero if unknown.
 func Judge(name string, o Outcome, l Ledger, x Expect, capacity float64) Report {
 	r := Report{Name: name, Took: o.Took, Counts: map[string]int{}, Broken: l.Broken, StoreCalls: l.StoreCalls, results: o.Results}
-	first := hdrhistogram.New(1, microsPerHour, histogramDigit)
+	first := hdrhistogram.New(1, microsPerHour, histogramDigits)
 	for i := range o.Results {
-		one := &o.Results[i]
-		if one.Line.Kind == KindFault {
-			r.miss("fault %s did not come about: %s", one.Line.Fault.Name, one.Detail)
+		res := &o.Results[i]
+		if res.Line.Kind == KindFault {
+			r.addMiss("fault %s did not come about: %s", res.Line.Fault.Name, res.Detail)
 			continue
 		}
-		r.count(one, l, first)
+		r.countRequest(res, l, first)
 	}
 	for _, c := range Classes {
 		r.Counts[c.String()] += 0
 	}
 	r.FirstToken = percentiles(first)
 	r.BetweenTokens = percentiles(o.Between)
-	r.goodput(o, capacity)
-	r.recoveries(o)
-	r.compare(x)
+	r.setGoodput(o, capacity)
+	r.setRecoveries(o)
+	r.checkExpect(x)
 	for _, v := range l.Violations {
-		r.miss("layer order: %s", v)
+		r.addMiss("layer order: %s", v)
 	}
 	return r
 }
 
-// count settles the class of a request with the ledger and counts it.
-func (r *Report) count(one *Result, l Ledger, first *hdrhistogram.Histogram) {
-	runs := l.Runs[one.Call]
-	if one.Line.Kind == KindCall && !one.Line.Idempotent && runs > 1 {
-		one.Class = Doubled
-		one.Detail = fmt.Sprintf("the call ran %d times", runs)
+// countRequest corrects the class of a request by the ledger and counts the request.
+func (r *Report) countRequest(res *Result, l Ledger, first *hdrhistogram.Histogram) {
+	runs := l.Runs[res.Call]
+	if res.Line.Kind == KindCall && !res.Line.Idempotent && runs > 1 {
+		res.Class = Doubled
+		res.Detail = fmt.Sprintf("the call ran %d times", runs)
 	}
-	if one.Class == Refused && runs > 0 {
+	if res.Class == Refused && runs > 0 {
 		r.Told++
 	}
 	r.Requests++
-	r.Counts[one.Class.String()]++
-	if one.Tokens > 0 && one.Line.Stream {
-		// Values outside the histogram's hour cannot come up.
-		_ = first.RecordValue(one.FirstToken.Microseconds())
+	r.Counts[res.Class.String()]++
+	if res.Tokens > 0 && res.Line.Stream {
+		// Requests end well within the hour that the histogram covers.
+		_ = first.RecordValue(res.FirstToken.Microseconds())
 	}
-	if one.Class != Whole && len(r.Examples) < examples {
-		r.Examples = append(r.Examples, fmt.Sprintf("%s at %s: %s: %s", one.Call, one.Began.Round(time.Millisecond), one.Class, one.Detail))
+	if res.Class != Whole && len(r.Examples) < maxExamples {
+		r.Examples = append(r.Examples, fmt.Sprintf("%s at %s: %s: %s", res.Call, res.Began.Round(time.Millisecond), res.Class, res.Detail))
 	}
 }
 
@@ -119,21 +123,21 @@
 	return Percentiles{P50: at(50), P95: at(95), P99: at(99)}
 }
 
-func (r *Report) goodput(o Outcome, capacity float64) {
+func (r *Report) setGoodput(o Outcome, capacity float64) {
 	offered, good := 0, 0
 	var last time.Duration
-	for _, one := range o.Results {
-		if one.Line.Kind != KindModel {
+	for _, res := range o.Results {
+		if res.Line.Kind != KindModel {
 			continue
 		}
-		offered += int(one.Line.OutputTokens)
-		if one.Class == Whole {
-			good += one.Tokens
-			last = max(last, one.Ended)
+		offered += int(res.Line.OutputTokens)
+		if res.Class == Whole {
+			good += res.Tokens
+			last = max(last, res.Ended)
 		}
 	}
-	// Until the last whole answer: what queued in an overload is made after
-	// the last request came, and would otherwise count beyond the capacity.
+	// Divide by the time until the last whole answer: in an overload, queued requests are answered
+	// after the last arrival, which would otherwise raise the goodput above the capacity.
 	seconds := max(last, time.Second).Seconds()
 	r.Goodput = Goodput{TokensPerSecond: float64(good) / seconds, Offered: float64(offered) / seconds, Capacity: capacity}
 	bound := r.Goodput.Offered
@@ -145,22 +149,22 @@
 	}
 }
 
-func (r *Report) recoveries(o Outcome) {
+func (r *Report) setRecoveries(o Outcome) {
 	faults := slices.SortedFunc(slices.Values(o.Faults), func(a, b InjectedFault) int { return int(a.At - b.At) })
 	for i, f := range faults {
 		until := o.Took
 		if i+1 < len(faults) {
 			until = faults[i+1].At
 		}
-		one := Recovery{Fault: f.Fault, At: f.At}
+		recovery := Recovery{Fault: f.Fault, At: f.At}
 		for _, res := range o.Results {
-			one.add(res, until)
+			recovery.add(res, until)
 		}
-		r.Recoveries = append(r.Recoveries, one)
+		r.Recoveries = append(r.Recoveries, recovery)
 	}
 }
 
-// add takes a request into account if the fault may have disturbed it.
+// add counts a request if it was disturbed between the fault and the given time.
 func (v *Recovery) add(res Result, until time.Duration) {
 	if res.GapAt > v.At && res.GapAt <= until {
 		v.Gap = max(v.Gap, res.Gap)
@@ -175,46 +179,46 @@
 	}
 }
 
-func (r *Report) miss(format string, args ...any) {
+func (r *Report) addMiss(format string, args ...any) {
 	r.Misses = append(r.Misses, fmt.Sprintf(format, args...))
 }
 
-func (r *Report) compare(x Expect) {
-	r.none(Doubled.String(), r.Counts[Doubled.String()])
-	r.none(Crossed.String(), r.Counts[Crossed.String()])
-	r.none("told not run but ran", r.Told)
-	r.none("layers out of order", r.Broken)
-	r.share(Lost, x.MaxLostShare)
-	r.share(Late, x.MaxLateShare)
-	r.share(Refused, x.MaxRefusedShare)
-	r.atMost("first token p95", r.FirstToken.P95, x.FirstTokenP95)
-	r.atMost("between tokens p95", r.BetweenTokens.P95, x.BetweenTokensP95)
+func (r *Report) checkExpect(x Expect) {
+	r.checkNone(Doubled.String(), r.Counts[Doubled.String()])
+	r.checkNone(Crossed.String(), r.Counts[Crossed.String()])
+	r.checkNone("told not run but ran", r.Told)
+	r.checkNone("layers out of order", r.Broken)
+	r.checkShare(Lost, x.MaxLostShare)
+	r.checkShare(Late, x.MaxLateShare)
+	r.checkShare(Refused, x.MaxRefusedShare)
+	r.checkAtMost("first token p95", r.FirstToken.P95, x.FirstTokenP95)
+	r.checkAtMost("between tokens p95", r.BetweenTokens.P95, x.BetweenTokensP95)
 	if r.Goodput.Share < x.MinGoodputShare {
-		r.miss("goodput is %.3f of the bound, at least %.3f was stated", r.Goodput.Share, x.MinGoodputShare)
+		r.addMiss("goodput is %.3f of the bound, at least %.3f was stated", r.Goodput.Share, x.MinGoodputShare)
 	}
 	for _, v := range r.Recoveries {
-		r.atMost(fmt.Sprintf("recovery from %s %s", v.Fault.Name, v.Fault.Target), v.Time, x.MaxRecovery)
+		r.checkAtMost(fmt.Sprintf("recovery from %s %s", v.Fault.Name, v.Fault.Target), v.Time, x.MaxRecovery)
 	}
 }
 
-func (r *Report) none(what string, n int) {
+func (r *Report) checkNone(what string, n int) {
 	if n > 0 {
-		r.miss("%s: %d, none may be", what, n)
+		r.addMiss("%s: %d, none may be", what, n)
 	}
 }
 
-func (r *Report) share(c Class, most float64) {
+func (r *Report) checkShare(c Class, limit float64) {
 	got := float64(r.Counts[c.String()]) / float64(max(r.Requests, 1))
-	if got > most {
-		r.miss("%s: %.4f of the requests, at most %.4f was stated", c, got, most)
+	if got > limit {
+		r.addMiss("%s: %.4f of the requests, at most %.4f was stated", c, got, limit)
 	}
 }
 
-func (r *Report) atMost(what string, got, most time.Duration) {
-	if got > most {
-		r.miss("%s is %s, at most %s was stated", what, got, most)
+func (r *Report) checkAtMost(what string, got, limit time.Duration) {
+	if got > limit {
+		r.addMiss("%s is %s, at most %s was stated", what, got, limit)
 	}
 }
 
-// Held says whether everything that was stated holds.
+// Held reports whether the stated outcome holds.
 func (r *Report) Held() bool { return len(r.Misses) == 0 }
--- a/pktrace/report_test.go
+++ b/pktrace/report_test.go
@@ -9,12 +9,12 @@
 	"gotest.tools/v3/assert"
 )
 
-var lax = Expect{
+var laxExpect = Expect{
 	MaxLostShare: 1, MaxLateShare: 1, MaxRefusedShare: 1,
 	FirstTokenP95: time.Hour, BetweenTokensP95: time.Hour, MaxRecovery: time.Hour,
 }
 
-func outcome(results ...Result) Outcome {
+func outcomeOf(results ...Result) Outcome {
 	return Outcome{Results: results, Took: 10 * time.Second, Between: hdrhistogram.New(1, 1_000_000, 3)}
 }
 
@@ -22,35 +22,34 @@
 	return Line{Kind: KindCall, Account: "a", Service: "s", Method: "POST", DeadlineMS: 1, Idempotent: idempotent}
 }
 
-// The report is what says whether the router keeps its promises. Each way of
-// breaking one must show, also where the caller saw nothing wrong.
-func TestJudgeFindsBrokenPromises(t *testing.T) {
+// Guards against violations that a report misses, also those that the caller cannot see.
+func TestJudgeReportsViolations(t *testing.T) {
 	cases := map[string]struct {
 		result Result
 		ledger Ledger
 		miss   string
 	}{
 		"whole":                           {Result{Line: callLine(false), Class: Whole, Call: "c"}, Ledger{Runs: map[string]int{"c": 1}}, ""},
-		"booked twice":                    {Result{Line: callLine(false), Class: Whole, Call: "c"}, Ledger{Runs: map[string]int{"c": 2}}, "doubled: 1"},
-		"read twice, which is allowed":    {Result{Line: callLine(true), Class: Whole, Call: "c"}, Ledger{Runs: map[string]int{"c": 2}}, ""},
-		"told as not run, but it ran":     {Result{Line: callLine(false), Class: Refused, Call: "c"}, Ledger{Runs: map[string]int{"c": 1}}, "told not run but ran: 1"},
-		"told as not run, and it is so":   {Result{Line: callLine(false), Class: Refused, Call: "c"}, Ledger{}, ""},
-		"another caller's answer":         {Result{Line: callLine(false), Class: Crossed, Call: "c"}, Ledger{}, "crossed: 1"},
-		"a layer out of order":            {Result{Line: callLine(false), Class: Whole, Call: "c"}, Ledger{Broken: 1, Violations: []string{"x"}}, "layers out of order: 1"},
-		"a fault that did not come about": {Result{Line: Line{Kind: KindFault, Fault: &Fault{Name: FaultKill}}, Class: Lost}, Ledger{}, "fault kill did not come about"},
+		"non-idempotent call run twice":   {Result{Line: callLine(false), Class: Whole, Call: "c"}, Ledger{Runs: map[string]int{"c": 2}}, "doubled: 1"},
+		"idempotent call run twice":       {Result{Line: callLine(true), Class: Whole, Call: "c"}, Ledger{Runs: map[string]int{"c": 2}}, ""},
+		"refused as not run, but it ran":  {Result{Line: callLine(false), Class: Refused, Call: "c"}, Ledger{Runs: map[string]int{"c": 1}}, "told not run but ran: 1"},
+		"refused as not run, and not run": {Result{Line: callLine(false), Class: Refused, Call: "c"}, Ledger{}, ""},
+		"answer of another request":       {Result{Line: callLine(false), Class: Crossed, Call: "c"}, Ledger{}, "crossed: 1"},
+		"layers out of order":             {Result{Line: callLine(false), Class: Whole, Call: "c"}, Ledger{Broken: 1, Violations: []string{"x"}}, "layers out of order: 1"},
+		"fault that was not injected":     {Result{Line: Line{Kind: KindFault, Fault: &Fault{Name: FaultKill}}, Class: Lost}, Ledger{}, "fault kill did not come about"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			r := Judge(name, outcome(c.result), c.ledger, lax, 0)
+			r := Judge(name, outcomeOf(c.result), c.ledger, laxExpect, 0)
 			assert.Equal(t, r.Held(), c.miss == "", r.Misses)
 			assert.Assert(t, strings.Contains(strings.Join(r.Misses, "\n"), c.miss), r.Misses)
 		})
 	}
 }
 
-func TestJudgeComparesWithWhatWasStated(t *testing.T) {
+func TestJudgeReportsMissedExpectations(t *testing.T) {
 	model := Line{Kind: KindModel, Account: "a", Model: "m", Stream: true, PromptTokens: 1, OutputTokens: 10, DeadlineMS: 1}
-	o := outcome(
+	o := outcomeOf(
 		Result{Line: model, Class: Whole, Tokens: 10, FirstToken: time.Second, Ended: 2 * time.Second},
 		Result{Line: model, Class: Lost, Ended: 3 * time.Second},
 		Result{Line: model, Class: Late, Tokens: 10, Gap: time.Second, GapAt: 4 * time.Second},
@@ -66,10 +65,10 @@
 	page, err := r.HTML()
 	assert.NilError(t, err)
 	assert.Assert(t, strings.Contains(string(page), "a stated outcome does not hold"))
-	assert.Assert(t, !strings.Contains(string(page), "http"), "the page needs nothing else")
+	assert.Assert(t, !strings.Contains(string(page), "http"), "the page must not load external resources")
 }
 
-func TestReadSaysWhatIsWrong(t *testing.T) {
+func TestReadReportsInvalidLines(t *testing.T) {
 	cases := map[string]string{
 		`{"at_ms":1,"kind":"model"}`:                     "t:1: a model line needs account",
 		`{"at_ms":1,"kind":"party"}`:                     "t:1: kind is \"party\"",
--- a/pktrace/text.go
+++ b/pktrace/text.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// WriteText writes the report for a terminal.
+// WriteText writes the report as plain text.
 func (r *Report) WriteText(w io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s: %d requests in %s\n", r.Name, r.Requests, r.Took.Round(100*time.Millisecond))
