--- a/pksample/make.go
+++ b/pksample/make.go
@@ -11,31 +11,33 @@
 	"peridotknot.example/pktrace"
 )
 
-// Profile is the shape of a user's workload.
+// Profile describes a user's workload.
 type Profile struct {
+	// Lasts is the length of the trace.
 	Lasts    time.Duration
 	Accounts []pkid.AccountID
-	// Shares are the accounts' shares of the requests; a few are large.
+	// Shares are the relative weights of the accounts in the requests.
 	Shares []float64
-	// Models and Calls are requests a second outside the burst, and Burst is
-	// what multiplies them from BurstAt on, for BurstFor.
+	// Models and Calls are the rates of model requests and service calls per second. Both are
+	// multiplied by Burst for BurstFor from BurstAt on.
 	Models   float64
 	Calls    float64
 	Burst    float64
 	BurstAt  time.Duration
 	BurstFor time.Duration
 	Model    pkid.ModelID
+	// Prompt and Output are the median numbers of tokens of a model request.
 	Prompt   int
 	Output   int
 	Deadline time.Duration
 	Service  pkid.ServiceID
-	// Reads is the share of calls that may be repeated.
+	// Reads is the fraction of service calls that are idempotent.
 	Reads        float64
 	CallDeadline time.Duration
 	Faults       []pktrace.Line
 }
 
-func fault(at time.Duration, f pktrace.Fault) pktrace.Line {
+func faultLine(at time.Duration, f pktrace.Fault) pktrace.Line {
 	return pktrace.Line{AtMS: at.Milliseconds(), Kind: pktrace.KindFault, Fault: &f}
 }
 
@@ -48,13 +50,13 @@
 		Model: "budget-de", Prompt: 180, Output: 48, Deadline: 8 * time.Second,
 		Service: "voting", Reads: 0.6, CallDeadline: 2 * time.Second,
 		Faults: []pktrace.Line{
-			fault(500*time.Millisecond, pktrace.Fault{Name: pktrace.FaultPublish, Target: "upgrade"}),
-			fault(2*time.Second, pktrace.Fault{Name: pktrace.FaultKill, Target: "aare-model-0-a-1", ForMS: 2500}),
-			fault(5*time.Second, pktrace.Fault{Name: pktrace.FaultStore, ForMS: 6000}),
-			fault(7*time.Second, pktrace.Fault{Name: pktrace.FaultSilence, Target: "aare-model-0-b-2"}),
-			fault(9*time.Second, pktrace.Fault{Name: pktrace.FaultLeave, Target: "aare-model-16-a-3", ForMS: 3000}),
-			fault(12*time.Second, pktrace.Fault{Name: pktrace.FaultPublish}),
-			fault(14*time.Second, pktrace.Fault{Name: pktrace.FaultVMList, ForMS: 2000}),
+			faultLine(500*time.Millisecond, pktrace.Fault{Name: pktrace.FaultPublish, Target: "upgrade"}),
+			faultLine(2*time.Second, pktrace.Fault{Name: pktrace.FaultKill, Target: "aare-model-0-a-1", ForMS: 2500}),
+			faultLine(5*time.Second, pktrace.Fault{Name: pktrace.FaultStore, ForMS: 6000}),
+			faultLine(7*time.Second, pktrace.Fault{Name: pktrace.FaultSilence, Target: "aare-model-0-b-2"}),
+			faultLine(9*time.Second, pktrace.Fault{Name: pktrace.FaultLeave, Target: "aare-model-16-a-3", ForMS: 3000}),
+			faultLine(12*time.Second, pktrace.Fault{Name: pktrace.FaultPublish}),
+			faultLine(14*time.Second, pktrace.Fault{Name: pktrace.FaultVMList, ForMS: 2000}),
 		},
 	},
 	"glenmore": {
@@ -65,27 +67,28 @@
 		Model: "drafting", Prompt: 120, Output: 44, Deadline: 10 * time.Second,
 		Service: "booking", Reads: 0.4, CallDeadline: 2 * time.Second,
 		Faults: []pktrace.Line{
-			fault(2*time.Second, pktrace.Fault{Name: pktrace.FaultKill, Target: "drafting-pool-16-a-2", ForMS: 2500}),
-			fault(5*time.Second, pktrace.Fault{Name: pktrace.FaultSlow, Target: "drafting-pool-0-b-1", ForMS: 2000, ExtraMS: 60}),
-			fault(8*time.Second, pktrace.Fault{Name: pktrace.FaultKill, Target: "booking-1", ForMS: 2000}),
-			fault(11*time.Second, pktrace.Fault{Name: pktrace.FaultReplace}),
-			fault(13*time.Second, pktrace.Fault{Name: pktrace.FaultLostSwap}),
-			fault(13500*time.Millisecond, pktrace.Fault{Name: pktrace.FaultPublish}),
+			faultLine(2*time.Second, pktrace.Fault{Name: pktrace.FaultKill, Target: "drafting-pool-16-a-2", ForMS: 2500}),
+			faultLine(5*time.Second, pktrace.Fault{Name: pktrace.FaultSlow, Target: "drafting-pool-0-b-1", ForMS: 2000, ExtraMS: 60}),
+			faultLine(8*time.Second, pktrace.Fault{Name: pktrace.FaultKill, Target: "booking-1", ForMS: 2000}),
+			faultLine(11*time.Second, pktrace.Fault{Name: pktrace.FaultReplace}),
+			faultLine(13*time.Second, pktrace.Fault{Name: pktrace.FaultLostSwap}),
+			faultLine(13500*time.Millisecond, pktrace.Fault{Name: pktrace.FaultPublish}),
 		},
 	},
 }
 
 func accounts(names ...pkid.AccountID) []pkid.AccountID { return names }
 
-// Make returns the trace of a sample's profile; calm leaves the faults out.
+// Make generates the trace of a sample from its profile and a seed. If calm is set, the trace has
+// no faults.
 func Make(sample string, seed uint64, calm bool) ([]pktrace.Line, error) {
 	p, found := profiles[sample]
 	if !found {
-		return nil, fmt.Errorf("there is no sample %q; there are %v", sample, Names)
+		return nil, fmt.Errorf("unknown sample %q, expected one of %v", sample, Names)
 	}
-	g := maker{Profile: p, rand: rand.New(rand.NewPCG(seed, seed))}
-	lines := g.arrivals(p.Models, g.model)
-	lines = append(lines, g.arrivals(p.Calls, g.call)...)
+	g := generator{Profile: p, rand: rand.New(rand.NewPCG(seed, seed))}
+	lines := g.arrivals(p.Models, g.modelLine)
+	lines = append(lines, g.arrivals(p.Calls, g.callLine)...)
 	if !calm {
 		lines = append(lines, p.Faults...)
 	}
@@ -93,32 +96,33 @@
 	return lines, nil
 }
 
-// lookups is the share of calls that are GETs although they may not be
-// repeated.
-const lookups = 0.3
+// lookupShare is the fraction of the calls which are not idempotent that are GET requests.
+const lookupShare = 0.3
 
-type maker struct {
+// generator draws the lines of a trace from a profile.
+type generator struct {
 	Profile
 	rand *rand.Rand
 }
 
-// arrivals draws a Poisson process whose rate goes up in the burst.
-func (g *maker) arrivals(rate float64, fill func(pktrace.Line) pktrace.Line) []pktrace.Line {
+// arrivals draws lines from a Poisson process with the given rate per second, which is higher
+// during the burst. The callback completes each line.
+func (g *generator) arrivals(rate float64, complete func(pktrace.Line) pktrace.Line) []pktrace.Line {
 	var out []pktrace.Line
 	for at := time.Duration(0); ; {
-		now := rate
+		current := rate
 		if at >= g.BurstAt && at < g.BurstAt+g.BurstFor {
-			now *= g.Burst
+			current *= g.Burst
 		}
-		at += time.Duration(g.rand.ExpFloat64() / now * float64(time.Second))
+		at += time.Duration(g.rand.ExpFloat64() / current * float64(time.Second))
 		if at >= g.Lasts {
 			return out
 		}
-		out = append(out, fill(pktrace.Line{AtMS: at.Milliseconds(), Account: g.account()}))
+		out = append(out, complete(pktrace.Line{AtMS: at.Milliseconds(), Account: g.drawAccount()}))
 	}
 }
 
-func (g *maker) account() pkid.AccountID {
+func (g *generator) drawAccount() pkid.AccountID {
 	sum := 0.0
 	for _, s := range g.Shares {
 		sum += s
@@ -132,31 +136,32 @@
 	return g.Accounts[0]
 }
 
-func (g *maker) model(l pktrace.Line) pktrace.Line {
+func (g *generator) modelLine(l pktrace.Line) pktrace.Line {
 	l.Kind = pktrace.KindModel
 	l.Model = g.Model
 	l.Stream = g.rand.Float64() < 0.8
-	l.PromptTokens = pkid.Tokens(g.size(g.Prompt))
-	l.OutputTokens = pkid.Tokens(g.size(g.Output))
+	l.PromptTokens = pkid.Tokens(g.drawSize(g.Prompt))
+	l.OutputTokens = pkid.Tokens(g.drawSize(g.Output))
 	l.DeadlineMS = g.Deadline.Milliseconds()
 	return l
 }
 
-// size draws a log-normal size around a median, cut off at four times of it.
-func (g *maker) size(median int) int {
+// drawSize draws a log-normal size with the given median, limited to between 4 and four times the
+// median.
+func (g *generator) drawSize(median int) int {
 	const spread = 0.5
 	n := float64(median) * math.Exp(spread*g.rand.NormFloat64())
 	return int(min(max(n, 4), float64(4*median)))
 }
 
-func (g *maker) call(l pktrace.Line) pktrace.Line {
+func (g *generator) callLine(l pktrace.Line) pktrace.Line {
 	l.Kind = pktrace.KindCall
 	l.Service = g.Service
 	l.Idempotent = g.rand.Float64() < g.Reads
 	l.Method = "POST"
-	l.BodyBytes = int64(g.size(300))
-	// A ballot lookup is a GET that may not be repeated.
-	if lookup := g.rand.Float64() < lookups; l.Idempotent || lookup {
+	l.BodyBytes = int64(g.drawSize(300))
+	// Some calls that are not idempotent, such as the lookup of a ballot, are GET requests too.
+	if lookup := g.rand.Float64() < lookupShare; l.Idempotent || lookup {
 		l.Method = "GET"
 		l.BodyBytes = 0
 	}
--- a/pksample/sample.go
+++ b/pksample/sample.go
@@ -13,7 +13,7 @@
 //go:embed aare glenmore
 var files embed.FS
 
-// Names lists the samples.
+// Names are the names of the samples.
 var Names = []string{"aare", "glenmore"}
 
 // Files of a sample.
@@ -26,11 +26,11 @@
 	FileExpect   = "expect.yaml"
 )
 
-// File returns one file of a sample.
+// File returns the contents of a file of a sample.
 func File(sample, name string) ([]byte, error) {
 	raw, err := files.ReadFile(path.Join(sample, name))
 	if err != nil {
-		return nil, fmt.Errorf("sample %q has no %s", sample, name)
+		return nil, fmt.Errorf("sample %q has no file %s", sample, name)
 	}
 	return raw, nil
 }
