--- a/peridotknot/explain.go
+++ b/peridotknot/explain.go
@@ -14,7 +14,7 @@
 	"peridotknot.example/pkexplain"
 )
 
-// explainCommand tells what decided on a request, or on all streams, by entries' logs.
+// explainCommand explains the handling of a request, or summarizes all streams, from entry logs.
 type explainCommand struct {
 	Log        string        `long:"log" required:"yes" description:"log file of the entry that served the request, - for the standard input; for a summary the logs of all entries, one after the other"`
 	Summary    bool          `long:"summary" description:"sum up all streams: late ones by cause and by time, the share that each engine carries"`
@@ -27,40 +27,40 @@
 }
 
 func addExplain(p *flags.Parser) error {
-	return add(p, "explain", "tell what decided on a request, or sum up all streams, by logs of entries", &explainCommand{})
+	return addCommand(p, "explain", "explain how a request was handled, or summarize all streams, from the logs of entries", &explainCommand{})
 }
 
-// Execute runs the command.
+// Execute prints the explanation or the summary.
 func (c *explainCommand) Execute([]string) error {
 	switch {
 	case c.Summary == (c.Args.Request != ""):
-		return bad("explain takes either a request's id or --summary")
+		return badInput("explain needs either a request id or --summary")
 	case c.Span <= 0:
-		return bad("--span must be over zero")
+		return badInput("--span must be positive")
 	}
 	in := os.Stdin
 	if c.Log != "-" {
 		file, err := os.Open(c.Log)
 		if err != nil {
-			return bad("--log: %w", err)
+			return badInput("--log: %w", err)
 		}
-		defer func() { _ = file.Close() }() // it was only read
+		defer func() { _ = file.Close() }() // opened for reading only
 		in = file
 	}
 	if c.Summary {
 		return c.summarize(in)
 	}
-	story, err := pkexplain.Read(in, c.Args.Request)
+	explanation, err := pkexplain.Read(in, c.Args.Request)
 	if errors.Is(err, pkexplain.ErrUnknown) {
-		return bad("%s: %w", c.Args.Request, err)
+		return badInput("%s: %w", c.Args.Request, err)
 	}
 	if err != nil {
 		return err
 	}
 	if options.Output == "json" {
-		return json.NewEncoder(os.Stdout).Encode(story)
+		return json.NewEncoder(os.Stdout).Encode(explanation)
 	}
-	return writeStory(os.Stdout, story)
+	return writeExplanation(os.Stdout, explanation)
 }
 
 func (c *explainCommand) summarize(log io.Reader) error {
@@ -74,7 +74,7 @@
 	return s.WriteText(os.Stdout)
 }
 
-func writeStory(w io.Writer, s pkexplain.Story) error {
+func writeExplanation(w io.Writer, s pkexplain.Story) error {
 	for _, l := range s.Lines {
 		var fields strings.Builder
 		for _, f := range l.Fields {
--- a/peridotknot/keys.go
+++ b/peridotknot/keys.go
@@ -12,40 +12,40 @@
 )
 
 func addKeys(p *flags.Parser) error {
-	c, err := p.AddCommand("keys", "make and hash API keys", "make and hash API keys", &none{})
+	c, err := p.AddCommand("keys", "generate and hash API keys", "generate and hash API keys", &commandGroup{})
 	if err != nil {
 		return err
 	}
-	if err := add(c, "new", "make an API key and its manifest entry", &keysNew{}); err != nil {
+	if err := addCommand(c, "new", "generate an API key and its manifest entry", &keysNew{}); err != nil {
 		return err
 	}
-	return add(c, "hash", "read an API key from standard input and print its manifest entry", &keysHash{})
+	return addCommand(c, "hash", "read an API key from standard input and print its manifest entry", &keysHash{})
 }
 
 type keysNew struct{}
 
-// Execute runs the command.
+// Execute generates a key and prints it with its manifest entry.
 func (*keysNew) Execute([]string) error {
-	key, kept := pkmanifest.NewKey()
+	key, entry := pkmanifest.NewKey()
 	fmt.Printf("key (give it to the account, it is kept nowhere): %s\n", key)
-	printKey(kept)
+	printKey(entry)
 	return nil
 }
 
 type keysHash struct{}
 
-// Execute runs the command. The key comes by standard input, because arguments
-// show in the list of processes.
+// Execute prints the manifest entry of a key. The key is read from standard input, since command
+// line arguments are visible in the list of processes.
 func (*keysHash) Execute([]string) error {
 	line, err := bufio.NewReader(os.Stdin).ReadString('\n')
 	if err != nil && line == "" {
-		return bad("no key on standard input")
+		return badInput("no key on standard input")
 	}
-	kept, err := pkmanifest.HashKey(strings.TrimSpace(line))
+	entry, err := pkmanifest.HashKey(strings.TrimSpace(line))
 	if err != nil {
-		return bad("%w", err)
+		return badInput("%w", err)
 	}
-	printKey(kept)
+	printKey(entry)
 	return nil
 }
 
--- a/peridotknot/main.go
+++ b/peridotknot/main.go
@@ -1,4 +1,4 @@
-// Command peridotknot is the operators' client.
+// Command peridotknot is the command-line client for operators.
 package main
 
 import (
@@ -16,29 +16,30 @@
 	"peridotknot.example/pkyaml"
 )
 
-// global is the options of every command.
-type global struct {
+// globalOptions are the options of every command.
+type globalOptions struct {
 	Output  string `long:"output" choice:"text" choice:"json" default:"text" description:"how tables are printed"`
 	Version bool   `long:"version" description:"print the version and exit"`
 }
 
-var options global
+var options globalOptions
 
-// errBad marks an error of the operator's input, errNo an answer of "no".
 var (
-	errBad = errors.New("bad input")
-	errNo  = errors.New("")
+	// errBadInput marks errors in the operator's input.
+	errBadInput = errors.New("bad input")
+	// errReported is a negative result whose details are printed already.
+	errReported = errors.New("")
 )
 
-func bad(format string, args ...any) error {
-	return fmt.Errorf("%w: %w", errBad, fmt.Errorf(format, args...))
+func badInput(format string, args ...any) error {
+	return fmt.Errorf("%w: %w", errBadInput, fmt.Errorf(format, args...))
 }
 
 func main() { os.Exit(run(os.Args[1:])) }
 
 func run(args []string) int {
 	p := flags.NewParser(&options, flags.HelpFlag|flags.PassDoubleDash)
-	p.ShortDescription = "operators' client of the peridotknot router"
+	p.ShortDescription = "command-line client of the peridotknot router for operators"
 	p.SubcommandsOptional = true
 	for _, add := range []func(*flags.Parser) error{addManifest, addStatus, addReplay, addTry, addKeys, addTrace, addMeasure, addExplain} {
 		if err := add(p); err != nil {
@@ -52,7 +53,7 @@
 		return pkcli.ExitOK
 	}
 	if err == nil && p.Active == nil && len(rest) > 0 {
-		return exitCode(bad("there is no command %q", rest[0]))
+		return exitCode(badInput("unknown command %q", rest[0]))
 	}
 	if err == nil && p.Active == nil {
 		p.WriteHelp(os.Stderr)
@@ -70,9 +71,9 @@
 	case pkcli.IsHelp(err):
 		fmt.Println(err)
 		return pkcli.ExitOK
-	case errors.Is(err, errNo):
+	case errors.Is(err, errReported):
 		return pkcli.ExitFailed
-	case errors.As(err, &flagErr), errors.Is(err, errBad), errors.As(err, &faults):
+	case errors.As(err, &flagErr), errors.Is(err, errBadInput), errors.As(err, &faults):
 		fmt.Fprintln(os.Stderr, err)
 		return pkcli.ExitBadInput
 	default:
@@ -81,13 +82,13 @@
 	}
 }
 
-// interruptible returns a context that ends when the operator stops the client.
-func interruptible() (context.Context, context.CancelFunc) {
+// interruptContext returns a context that is canceled on SIGINT and SIGTERM.
+func interruptContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
-// add adds a command under a parser or another command.
-func add(to interface {
+// addCommand adds a command to a parser or to another command.
+func addCommand(to interface {
 	AddCommand(name, short, long string, data any) (*flags.Command, error)
 }, name, short string, data any,
 ) error {
@@ -95,5 +96,5 @@
 	return err
 }
 
-// none is the data of commands that only hold others.
-type none struct{}
+// commandGroup is the data of commands that only have subcommands.
+type commandGroup struct{}
--- a/peridotknot/main_test.go
+++ b/peridotknot/main_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// programs builds all programs of the project into a folder.
-func programs(t *testing.T) string {
+// buildPrograms builds all programs of the project and returns their folder.
+func buildPrograms(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	build := exec.CommandContext(t.Context(), "go", "build", "-o", dir, ".", "../peridotknotd", "../peridotknot-edge", "../peridotknot-standin")
@@ -21,15 +21,14 @@
 	return dir
 }
 
-// An operator asks a program for help or mistypes a word. Help must come on the
-// standard output with code 0, and a mistake must be named with code 2; a panic
-// in place of either says nothing of what was wrong.
+// Guards against wrong exit codes and panics: help must exit with code 0, and a mistake on the
+// command line must be named and exit with code 2.
 func TestCommandLines(t *testing.T) {
-	dir := programs(t)
+	dir := buildPrograms(t)
 	type row struct {
 		line string
 		code int
-		says string
+		want string
 	}
 	cases := []row{
 		{"peridotknot --help", 0, "Available commands"},
@@ -72,7 +71,7 @@
 				t.Fatal(err)
 			}
 			assert.Equal(t, run.ProcessState.ExitCode(), c.code, string(out))
-			assert.Assert(t, strings.Contains(string(out), c.says), string(out))
+			assert.Assert(t, strings.Contains(string(out), c.want), string(out))
 			assert.Assert(t, !strings.Contains(string(out), "panic"), string(out))
 		})
 	}
--- a/peridotknot/manifest.go
+++ b/peridotknot/manifest.go
@@ -21,7 +21,7 @@
 const callTimeout = 10 * time.Second
 
 func addManifest(p *flags.Parser) error {
-	c, err := p.AddCommand("manifest", "check, publish and show manifests", "check, publish and show manifests", &none{})
+	c, err := p.AddCommand("manifest", "check, publish and show manifests", "check, publish and show manifests", &commandGroup{})
 	if err != nil {
 		return err
 	}
@@ -32,26 +32,28 @@
 		{"check", "check a manifest file", &manifestCheck{}},
 		{"publish", "publish a manifest file", &manifestPublish{}},
 		{"show", "show the manifest in the store", &manifestShow{}},
-		{"diff", "show how a file differs from the manifest in the store", &manifestDiff{}},
+		{"diff", "compare a manifest file with the manifest in the store", &manifestDiff{}},
 	} {
-		if err := add(c, sub.name, sub.short, sub.data); err != nil {
+		if err := addCommand(c, sub.name, sub.short, sub.data); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// storeOption is shared by the commands that reach the store.
+// storeOption is the option of commands that use the store.
 type storeOption struct {
 	Store string `long:"store" required:"yes" description:"IP and port of the key-value service"`
 }
 
+// open returns a client of the store, a context with the timeout of the command, and a function that
+// releases both.
 func (o storeOption) open() (*pketcd.Client, context.Context, func()) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	store := pketcd.New(o.Store, pkconn.DefaultOptions())
 	return store, ctx, func() {
 		cancel()
-		_ = store.Close() // the command ends here
+		_ = store.Close() // the process exits anyway
 	}
 }
 
@@ -62,7 +64,7 @@
 func (a fileArg) read() (pkmanifest.Manifest, []byte, error) {
 	body, err := os.ReadFile(a.File)
 	if err != nil {
-		return pkmanifest.Manifest{}, nil, bad("%w", err)
+		return pkmanifest.Manifest{}, nil, badInput("%w", err)
 	}
 	m, err := pkmanifest.Parse(a.File, body)
 	return m, body, err
@@ -72,7 +74,7 @@
 	Args fileArg `positional-args:"yes"`
 }
 
-// Execute runs the command.
+// Execute checks the file and prints a summary.
 func (c *manifestCheck) Execute([]string) error {
 	m, body, err := c.Args.read()
 	if err != nil {
@@ -91,13 +93,13 @@
 	} `positional-args:"yes"`
 }
 
-// Execute runs the command.
+// Execute publishes the file, or settles an earlier publish, and prints the outcome.
 func (c *manifestPublish) Execute([]string) error {
 	store, ctx, done := c.open()
 	defer done()
 	if c.Resume != "" {
 		out, err := pkhead.Settle(ctx, store, pkhead.PublishID(c.Resume))
-		return tell(pkhead.PublishID(c.Resume), out, err)
+		return reportOutcome(pkhead.PublishID(c.Resume), out, err)
 	}
 	m, body, err := fileArg{File: c.Args.File}.read()
 	if err != nil {
@@ -105,7 +107,7 @@
 	}
 	id := pkhead.PublishID(ulid.Make().String())
 	out, err := pkhead.Publish(ctx, store, pkhead.Draft{ID: id, Operator: operator(), Name: m.Name, Body: body, Base: pkid.Revision(c.Base)})
-	return tell(id, out, err)
+	return reportOutcome(id, out, err)
 }
 
 func operator() string {
@@ -115,8 +117,8 @@
 	return "unknown"
 }
 
-// tell prints an outcome; anything but accepted is an answer of "no".
-func tell(id pkhead.PublishID, out pkhead.Outcome, err error) error {
+// reportOutcome prints the outcome of a publish. It returns an error unless the publish was accepted.
+func reportOutcome(id pkhead.PublishID, out pkhead.Outcome, err error) error {
 	switch out.Result {
 	case pkhead.Accepted:
 		p, _ := out.Head.Find(id)
@@ -128,7 +130,7 @@
 		}
 		fmt.Printf("refused: %s published revision %d (%s) meanwhile; see manifest diff, then publish with --base %d\n",
 			out.Head.Operator, out.Head.Revision, out.Head.Name, out.Head.Revision)
-		return errNo
+		return errReported
 	default:
 		return fmt.Errorf("unknown: the store did not answer; settle it with manifest publish --resume %s: %w", id, err)
 	}
@@ -140,7 +142,7 @@
 	History  bool   `long:"history" description:"list the revisions that the head remembers"`
 }
 
-// Execute runs the command.
+// Execute prints the manifest of a revision, or the history.
 func (c *manifestShow) Execute([]string) error {
 	store, ctx, done := c.open()
 	defer done()
@@ -160,7 +162,7 @@
 	}
 	p, found := head.At(rev)
 	if !found {
-		return bad("revision %d is not among those the head remembers", rev)
+		return badInput("revision %d is not in the history", rev)
 	}
 	body, err := pkhead.Body(ctx, store, p)
 	if err != nil {
@@ -186,7 +188,7 @@
 	Args fileArg `positional-args:"yes"`
 }
 
-// Execute runs the command.
+// Execute prints the differences between the manifest in force and the file.
 func (c *manifestDiff) Execute([]string) error {
 	next, _, err := c.Args.read()
 	if err != nil {
@@ -198,17 +200,17 @@
 	if err != nil {
 		return err
 	}
-	var now pkmanifest.Manifest
+	var current pkmanifest.Manifest
 	if head.Revision > 0 {
 		body, err := pkhead.Body(ctx, store, head.Publication)
 		if err != nil {
 			return err
 		}
-		if now, err = pkmanifest.Parse(head.Name, body); err != nil {
+		if current, err = pkmanifest.Parse(head.Name, body); err != nil {
 			return err
 		}
 	}
-	changes := pkmanifest.Diff(now, next)
+	changes := pkmanifest.Diff(current, next)
 	if options.Output == "json" {
 		return json.NewEncoder(os.Stdout).Encode(changes)
 	}
--- a/peridotknot/measure.go
+++ b/peridotknot/measure.go
@@ -12,7 +12,7 @@
 )
 
 func addMeasure(p *flags.Parser) error {
-	return add(p, "measure", "measure what the router costs by one dimension at a time", &measureCommand{})
+	return addCommand(p, "measure", "measure the cost of the router along one dimension at a time", &measureCommand{})
 }
 
 type measureCommand struct {
@@ -20,16 +20,16 @@
 	Out   string   `long:"out" default:"measured.jsonl" description:"file for the series, JSON lines"`
 	Table string   `long:"table" description:"print the capacity table of a file of series, and measure nothing"`
 	Plots string   `long:"plots" description:"folder for one SVG plot a series"`
-	// Profile covers the whole process: entry, stand-ins and callers.
+	// Profile covers the whole process with entry, stand-ins and callers.
 	Profile string `long:"profile" description:"file for a processor profile of the run"`
 }
 
-// Execute runs the command.
+// Execute measures and prints the fitted series, or prints the capacity table of a file.
 func (c *measureCommand) Execute([]string) error {
 	if c.Table != "" {
 		return c.table()
 	}
-	ctx, cancel := interruptible()
+	ctx, cancel := interruptContext()
 	defer cancel()
 	names := c.What
 	if len(names) == 0 {
@@ -49,7 +49,7 @@
 	}
 	f, err := os.Create(c.Out)
 	if err != nil {
-		return bad("%w", err)
+		return badInput("%w", err)
 	}
 	return errors.Join(pkmeasure.Write(f, series), f.Close(), c.plot(series))
 }
@@ -60,14 +60,14 @@
 	}
 	f, err := os.Create(c.Profile)
 	if err != nil {
-		return nil, bad("%w", err)
+		return nil, badInput("%w", err)
 	}
 	if err := pprof.StartCPUProfile(f); err != nil {
 		return nil, err
 	}
 	return func() {
 		pprof.StopCPUProfile()
-		_ = f.Close() // the profile is a by-product
+		_ = f.Close() // an incomplete profile does not fail the measurement
 	}, nil
 }
 
@@ -81,16 +81,16 @@
 func (c *measureCommand) table() error {
 	f, err := os.Open(c.Table)
 	if err != nil {
-		return bad("%w", err)
+		return badInput("%w", err)
 	}
 	defer func() { _ = f.Close() }()
 	series, err := pkmeasure.Read(f)
 	if err != nil {
-		return bad("%w", err)
+		return badInput("%w", err)
 	}
 	table, err := pkmeasure.Table(series)
 	if err != nil {
-		return bad("%w", err)
+		return badInput("%w", err)
 	}
 	fmt.Print(table)
 	return nil
--- a/peridotknot/replay.go
+++ b/peridotknot/replay.go
@@ -18,7 +18,7 @@
 )
 
 func addReplay(p *flags.Parser) error {
-	return add(p, "replay", "replay a trace and judge it against a stated outcome", &replayCommand{})
+	return addCommand(p, "replay", "replay a trace and compare the results with a stated outcome", &replayCommand{})
 }
 
 type replayCommand struct {
@@ -32,9 +32,10 @@
 	Report   string   `long:"report" default:"report" description:"folder for the JSON and HTML reports"`
 }
 
-// Execute runs the command.
+// Execute replays the trace, prints and writes the report, and fails if the stated outcome does not
+// hold.
 func (c *replayCommand) Execute([]string) error {
-	ctx, cancel := interruptible()
+	ctx, cancel := interruptContext()
 	defer cancel()
 	r := pktrace.Replay{Inject: c.inject, Progress: progress("replay"), Speed: c.Speed, Keys: map[pkid.AccountID]string{}}
 	expect, err := c.read(&r)
@@ -64,7 +65,7 @@
 		return err
 	}
 	if !report.Held() {
-		return errNo
+		return errReported
 	}
 	return nil
 }
@@ -72,23 +73,23 @@
 func (c *replayCommand) read(r *pktrace.Replay) (pktrace.Expect, error) {
 	raw, err := os.ReadFile(c.Trace)
 	if err != nil {
-		return pktrace.Expect{}, bad("%w", err)
+		return pktrace.Expect{}, badInput("%w", err)
 	}
 	if r.Lines, err = pktrace.Read(c.Trace, bytes.NewReader(raw)); err != nil {
-		return pktrace.Expect{}, bad("%w", err)
+		return pktrace.Expect{}, badInput("%w", err)
 	}
 	keys, err := os.ReadFile(c.Keys)
 	if err != nil {
-		return pktrace.Expect{}, bad("%w", err)
+		return pktrace.Expect{}, badInput("%w", err)
 	}
 	if err := yaml.Unmarshal(keys, &r.Keys); err != nil {
-		return pktrace.Expect{}, bad("%s: %w", c.Keys, err)
+		return pktrace.Expect{}, badInput("%s: %w", c.Keys, err)
 	}
-	stated, err := os.ReadFile(c.Expect)
+	rawExpect, err := os.ReadFile(c.Expect)
 	if err != nil {
-		return pktrace.Expect{}, bad("%w", err)
+		return pktrace.Expect{}, badInput("%w", err)
 	}
-	return pktrace.ParseExpect(c.Expect, stated)
+	return pktrace.ParseExpect(c.Expect, rawExpect)
 }
 
 func (c *replayCommand) inject(f pktrace.Fault) error {
@@ -123,7 +124,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.Standins+pkstandin.PathLedger, http.NoBody)
 	if err != nil {
-		return l, bad("%w", err)
+		return l, badInput("%w", err)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
--- a/peridotknot/status.go
+++ b/peridotknot/status.go
@@ -14,21 +14,21 @@
 )
 
 func addStatus(p *flags.Parser) error {
-	return add(p, "status", "show what entries say of themselves", &statusCommand{})
+	return addCommand(p, "status", "show the status of entries", &statusCommand{})
 }
 
 type statusCommand struct {
 	Entries []string `long:"entry" required:"yes" description:"IP and port of an entry's admin address; may be given again"`
 }
 
-// statusRow is one entry's status, or why there is none.
+// statusRow is the status of an entry, or the error of reading it.
 type statusRow struct {
 	Admin  string          `json:"admin"`
 	Status *pkentry.Status `json:"status,omitempty"`
 	Error  string          `json:"error,omitempty"`
 }
 
-// Execute runs the command.
+// Execute prints the status of each entry.
 func (c *statusCommand) Execute([]string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -53,7 +53,7 @@
 	var s pkentry.Status
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+admin+pkentry.PathStatus, http.NoBody)
 	if err != nil {
-		return s, bad("%w", err)
+		return s, badInput("%w", err)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
--- a/peridotknot/trace.go
+++ b/peridotknot/trace.go
@@ -11,11 +11,11 @@
 )
 
 func addTrace(p *flags.Parser) error {
-	c, err := p.AddCommand("trace", "make traces", "make traces", &none{})
+	c, err := p.AddCommand("trace", "generate traces", "generate traces", &commandGroup{})
 	if err != nil {
 		return err
 	}
-	return add(c, "make", "print the trace of a sample's profile", &traceMake{})
+	return addCommand(c, "make", "print the trace generated from the profile of a sample", &traceMake{})
 }
 
 type traceMake struct {
@@ -24,16 +24,17 @@
 	Calm   bool   `long:"calm" description:"leave the faults out"`
 }
 
-// Execute runs the command.
+// Execute prints the trace.
 func (c *traceMake) Execute([]string) error {
 	lines, err := pksample.Make(c.Sample, c.Seed, c.Calm)
 	if err != nil {
-		return bad("%w", err)
+		return badInput("%w", err)
 	}
 	return pktrace.Write(os.Stdout, lines)
 }
 
-func modelOf(lines []pktrace.Line) pkid.ModelID {
+// firstModel returns the model of the first model request, or an empty id.
+func firstModel(lines []pktrace.Line) pkid.ModelID {
 	for _, l := range lines {
 		if l.Kind == pktrace.KindModel {
 			return l.Model
--- a/peridotknot/try.go
+++ b/peridotknot/try.go
@@ -22,7 +22,7 @@
 	"peridotknot.example/pktrace"
 )
 
-// tryCommand runs both samples in this process.
+// tryCommand runs the samples in this process.
 type tryCommand struct {
 	Keep    bool    `long:"keep" description:"leave the deployment of the first sample up until interrupted"`
 	Sample  string  `long:"sample" choice:"aare" choice:"glenmore" description:"only this sample"`
@@ -39,39 +39,39 @@
 const startTimeout = 15 * time.Second
 
 func addTry(p *flags.Parser) error {
-	return add(p, "try", "run stand-ins, entries and both users' traces in one process", &tryCommand{})
+	return addCommand(p, "try", "run stand-ins and entries in one process and replay the traces of both users", &tryCommand{})
 }
 
-// Execute runs the command.
+// Execute replays the samples and fails if a stated outcome does not hold.
 func (c *tryCommand) Execute([]string) error {
 	if c.Entries < 1 {
-		return bad("--entries must be at least 1")
+		return badInput("--entries must be at least 1")
 	}
-	ctx, cancel := interruptible()
+	ctx, cancel := interruptContext()
 	defer cancel()
 	names := pksample.Names
 	if c.Sample != "" {
 		names = []string{c.Sample}
 	}
 	if c.Keep {
-		return c.keep(ctx, names[0])
+		return c.keepRunning(ctx, names[0])
 	}
-	held := true
+	passed := true
 	for _, name := range names {
-		r, err := c.sample(ctx, name)
+		r, err := c.runSample(ctx, name)
 		if err != nil {
 			return err
 		}
-		held = held && r.Held()
+		passed = passed && r.Held()
 	}
-	fmt.Fprintf(os.Stderr, "reports are in %s\n", c.Report)
-	if !held {
-		return errNo
+	fmt.Fprintf(os.Stderr, "reports written to %s\n", c.Report)
+	if !passed {
+		return errReported
 	}
 	return nil
 }
 
-func (c *tryCommand) start(ctx context.Context, name string) (*pklab.Lab, error) {
+func (c *tryCommand) startLab(ctx context.Context, name string) (*pklab.Lab, error) {
 	raw, err := pksample.File(name, pksample.FileStandins)
 	if err != nil {
 		return nil, err
@@ -90,17 +90,17 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	change := func(_ int, s *pkentry.Settings) {
+	configure := func(_ int, s *pkentry.Settings) {
 		s.Policy = pkroute.Policy(c.Policy)
 		if c.Alone {
 			s.Listen.Peers = ""
 		}
 	}
-	return pklab.Start(ctx, pklab.Options{Standins: standins, Manifest: manifest, Entries: c.Entries, Log: log, Change: change})
+	return pklab.Start(ctx, pklab.Options{Standins: standins, Manifest: manifest, Entries: c.Entries, Log: log, Change: configure})
 }
 
-func (c *tryCommand) sample(ctx context.Context, name string) (pktrace.Report, error) {
-	lab, err := c.start(ctx, name)
+func (c *tryCommand) runSample(ctx context.Context, name string) (pktrace.Report, error) {
+	lab, err := c.startLab(ctx, name)
 	if err != nil {
 		return pktrace.Report{}, err
 	}
@@ -136,7 +136,7 @@
 	if err != nil {
 		return pktrace.Report{}, err
 	}
-	capacity, err := lab.World.Capacity(modelOf(lines))
+	capacity, err := lab.World.Capacity(firstModel(lines))
 	if err != nil {
 		return pktrace.Report{}, err
 	}
@@ -152,13 +152,13 @@
 func readTrace(name, file string, raw []byte) ([]pktrace.Line, pktrace.Expect, error) {
 	lines, err := pktrace.Read(name+"/"+file, bytes.NewReader(raw))
 	if err != nil {
-		return nil, pktrace.Expect{}, bad("%w", err)
+		return nil, pktrace.Expect{}, badInput("%w", err)
 	}
-	stated, err := pksample.File(name, pksample.FileExpect)
+	rawExpect, err := pksample.File(name, pksample.FileExpect)
 	if err != nil {
 		return nil, pktrace.Expect{}, err
 	}
-	expect, err := pktrace.ParseExpect(name+"/"+pksample.FileExpect, stated)
+	expect, err := pktrace.ParseExpect(name+"/"+pksample.FileExpect, rawExpect)
 	return lines, expect, err
 }
 
@@ -166,20 +166,20 @@
 	return func(done, all int) { fmt.Fprintf(os.Stderr, "\r%s: %d of %d", name, done, all) }
 }
 
-// keep leaves a deployment up and prints how to use it.
-func (c *tryCommand) keep(ctx context.Context, name string) error {
-	lab, err := c.start(ctx, name)
+// keepRunning starts a deployment, prints how to use it and stops it on interrupt.
+func (c *tryCommand) keepRunning(ctx context.Context, name string) error {
+	lab, err := c.startLab(ctx, name)
 	if err != nil {
 		return err
 	}
-	if err := printUse(lab, name); err != nil {
+	if err := printUsage(lab, name); err != nil {
 		return errors.Join(err, lab.Close())
 	}
 	<-ctx.Done()
 	return lab.Close()
 }
 
-func printUse(lab *pklab.Lab, name string) error {
+func printUsage(lab *pklab.Lab, name string) error {
 	raw, err := pksample.File(name, pksample.FileManifest)
 	if err != nil {
 		return err
@@ -219,7 +219,7 @@
 
 func writeReports(folder string, r *pktrace.Report) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return fmt.Errorf("make report folder: %w", err)
+		return fmt.Errorf("create report folder: %w", err)
 	}
 	raw, err := r.JSON()
 	if err != nil {
