--- a/peridotknotd/main.go
+++ b/peridotknotd/main.go
@@ -1,5 +1,5 @@
-// Command peridotknotd is the entry daemon: it serves callers and routes their
-// requests to targets.
+// Command peridotknotd is the entry daemon, which serves callers and routes their requests to
+// targets.
 package main
 
 import (
@@ -22,6 +22,7 @@
 	"peridotknot.example/pkversion"
 )
 
+// flushTimeout bounds the export of the remaining spans at shutdown.
 const flushTimeout = 3 * time.Second
 
 func main() { os.Exit(pkcli.Daemon("", pkentry.ParseSettings, serve)) }
@@ -48,6 +49,8 @@
 	return e.Run(ctx)
 }
 
+// newTracer returns a tracer that exports to the OTLP endpoint of the settings, if there is one, and a
+// function that flushes it.
 func newTracer(ctx context.Context, t pkentry.TraceExport) (trace.Tracer, func(), error) {
 	const name = "peridotknot"
 	if t.OTLP == "" {
@@ -61,7 +64,7 @@
 	flush := func() {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), flushTimeout)
 		defer cancel()
-		_ = provider.Shutdown(ctx) // spans that cannot be exported now are lost either way
+		_ = provider.Shutdown(ctx) // spans that cannot be exported by now are dropped
 	}
 	return provider.Tracer(name), flush, nil
 }
