--- a/peridotknot-edge/main.go
+++ b/peridotknot-edge/main.go
@@ -1,4 +1,4 @@
-// Command peridotknot-edge is the entry daemon on the users' platform.
+// Command peridotknot-edge is the entry daemon for the platform of the users.
 package main
 
 import (
@@ -27,8 +27,8 @@
 }
 
 const (
-	// memoryShare is the share of the VM's memory that the Go heap may take before
-	// it is collected harder; bytes in socket buffers count as well.
+	// memoryShare is the fraction of the VM's memory that is set as Go's soft memory limit. The rest
+	// is for memory outside of the Go runtime, such as socket buffers.
 	memoryShare = 0.6
 	bytesPerMB  = 1 << 20
 )
@@ -62,38 +62,37 @@
 	return d.Run(ctx)
 }
 
-// reloadEvery is how often the settings file is read again; it may change without
-// a signal, and is small.
-const reloadEvery = 2 * time.Second
+// reloadInterval is how often the settings file is checked for changes that come without a signal.
+const reloadInterval = 2 * time.Second
 
-// reload reads the settings file again on SIGHUP and every now and then, until ctx
-// ends. A file that is missing or wrong leaves the settings as they are.
+// reload rereads the settings file on SIGHUP and at regular intervals until ctx ends. If the file is
+// missing or invalid, the current settings stay in force.
 func reload(ctx context.Context, file string, d *pkedge.Daemon, log hclog.Logger) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	tick := time.NewTicker(reloadEvery)
+	tick := time.NewTicker(reloadInterval)
 	defer tick.Stop()
-	before, err := os.ReadFile(file)
+	last, err := os.ReadFile(file)
 	if err != nil {
-		log.Warn("the settings file is not readable", "error", err)
+		log.Warn("settings file is not readable", "error", err)
 	}
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hup:
-			log.Info("told to reload the settings")
+			log.Info("received SIGHUP, checking the settings file")
 		case <-tick.C:
 		}
 		raw, err := os.ReadFile(file)
-		if err != nil || bytes.Equal(raw, before) {
+		if err != nil || bytes.Equal(raw, last) {
 			continue
 		}
-		before = raw
+		last = raw
 		s, err := pkedge.ParseSettings(file, raw)
 		if err != nil {
-			log.Error("changed settings are passed over", "error", err)
+			log.Error("invalid settings file, keeping the current settings", "error", err)
 			continue
 		}
 		d.Reload(s)
