--- a/peridotknot-standin/main.go
+++ b/peridotknot-standin/main.go
@@ -1,5 +1,5 @@
-// Command peridotknot-standin runs small stand-ins for what surrounds the
-// router: key-value service, VM list, engines and services.
+// Command peridotknot-standin runs stand-ins for the systems around the router: the key-value
+// service, the VM list, engines and services.
 package main
 
 import (
@@ -20,7 +20,7 @@
 	if err != nil {
 		return err
 	}
-	hclog.Default().Info("standing in", "store", w.StoreAddr(), "platform", w.PlatformAddr(), "admin", w.AdminAddr())
+	hclog.Default().Info("stand-ins started", "store", w.StoreAddr(), "platform", w.PlatformAddr(), "admin", w.AdminAddr())
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, os.Interrupt, syscall.SIGTERM)
 	<-stop
