--- a/peridotknotd/main.go
+++ b/peridotknotd/main.go
@@ -49,8 +49,8 @@
 	return e.Run(ctx)
 }
 
-// newTracer returns a tracer that exports to the OTLP endpoint of the settings, if there is one, and a
-// function that flushes it.
+// newTracer returns a tracer that exports to the OTLP endpoint of the settings, if there is one, and
+// a function that flushes it.
 func newTracer(ctx context.Context, t pkentry.TraceExport) (trace.Tracer, func(), error) {
 	const name = "peridotknot"
 	if t.OTLP == "" {
--- a/pkexplain/summary.go
+++ b/pkexplain/summary.go
@@ -17,20 +17,19 @@
 // Causes of late streams, of which the first that applies counts. For a stream that was not
 // answered, the cause is its outcome.
 const (
-	// InTime means that the stream was not late.
+	// The stream was not late.
 	InTime Cause = "in time"
-	// Dead means that the stream was moved off a dead engine.
+	// The stream was moved off a dead engine.
 	Dead Cause = "dead engine"
-	// Leaving means that the stream was moved off a leaving engine.
+	// The stream was moved off a leaving engine.
 	Leaving Cause = "leaving engine"
-	// Resent means that the stream was retried for another reason.
+	// The stream was retried for another reason.
 	Resent Cause = "sent again"
-	// FirstEvent means that the first event was late.
+	// The first event was late.
 	FirstEvent Cause = "first event"
-	// Crossing means that the stream paused on a path that crosses data centres, without a known
-	// failure of an engine.
+	// The stream paused on a path that crosses data centres, without a known failure of an engine.
 	Crossing Cause = "pause, path crosses data centres"
-	// Near means that the stream paused on a path within one data centre.
+	// The stream paused on a path within one data centre.
 	Near Cause = "pause, path in one data centre"
 )
 
--- a/pksample/make.go
+++ b/pksample/make.go
@@ -13,25 +13,25 @@
 
 // Profile describes a user's workload.
 type Profile struct {
-	// Lasts is the length of the trace.
+	// The length of the trace.
 	Lasts    time.Duration
 	Accounts []pkid.AccountID
 	// Shares are the relative weights of the accounts in the requests.
 	Shares []float64
-	// Models and Calls are the rates of model requests and service calls per second. Both are
-	// multiplied by Burst for BurstFor from BurstAt on.
+	// The rates of model requests and of service calls per second, and the factor by which both are
+	// multiplied during the burst.
 	Models   float64
 	Calls    float64
 	Burst    float64
 	BurstAt  time.Duration
 	BurstFor time.Duration
 	Model    pkid.ModelID
-	// Prompt and Output are the median numbers of tokens of a model request.
+	// The median numbers of tokens of a model request.
 	Prompt   int
 	Output   int
 	Deadline time.Duration
 	Service  pkid.ServiceID
-	// Reads is the fraction of service calls that are idempotent.
+	// The fraction of service calls that are idempotent.
 	Reads        float64
 	CallDeadline time.Duration
 	Faults       []pktrace.Line
--- a/pktrace/ledger.go
+++ b/pktrace/ledger.go
@@ -4,7 +4,7 @@
 type Ledger struct {
 	// Runs counts the executions of each replayed call.
 	Runs map[string]int `json:"runs"`
-	// Violations describe violations of the layer order, Broken counts them.
+	// The violations of the layer order, of which some are described, and their number.
 	Violations []string `json:"violations"`
 	Broken     int      `json:"broken"`
 	// StoreCalls counts the calls to the key-value store.
--- a/pktrace/report.go
+++ b/pktrace/report.go
@@ -15,9 +15,9 @@
 	Requests int           `json:"requests"`
 	// Counts holds the number of requests of each class.
 	Counts map[string]int `json:"counts"`
-	// Told counts calls that ran although they were refused as not run.
+	// The number of calls that ran although they were refused as not run.
 	Told int `json:"told_not_run_but_ran"`
-	// Broken counts violations of the layer order.
+	// The number of violations of the layer order.
 	Broken        int         `json:"layer_order_broken"`
 	FirstToken    Percentiles `json:"first_token"`
 	BetweenTokens Percentiles `json:"between_tokens"`
