--- a/peridotknot/explain.go
+++ b/peridotknot/explain.go
@@ -16,11 +16,11 @@
 
 // explainCommand explains the handling of a request, or summarizes all streams, from entry logs.
 type explainCommand struct {
-	Log        string        `long:"log" required:"yes" description:"log file of the entry that served the request, - for the standard input; for a summary the logs of all entries, one after the other"`
-	Summary    bool          `long:"summary" description:"sum up all streams: late ones by cause and by time, the share that each engine carries"`
-	FirstEvent time.Duration `long:"first-event" default:"500ms" description:"with --summary: a first event after this is late"`
-	Pause      time.Duration `long:"pause" default:"200ms" description:"with --summary: a pause over this is late"`
-	Span       time.Duration `long:"span" default:"2s" description:"with --summary: the length of a line of the table"`
+	Log        string        `long:"log" required:"yes" description:"log file of the entry that served the request, or - for standard input; with --summary the concatenated logs of all entries"`
+	Summary    bool          `long:"summary" description:"summarize all streams: late ones by cause and by time, and the share of streams that each engine serves"`
+	FirstEvent time.Duration `long:"first-event" default:"500ms" description:"with --summary: time to the first event above which a stream is late"`
+	Pause      time.Duration `long:"pause" default:"200ms" description:"with --summary: time between two events above which a stream is late"`
+	Span       time.Duration `long:"span" default:"2s" description:"with --summary: length of the interval that a line of the table covers"`
 	Args       struct {
 		Request string `positional-arg-name:"REQUEST_ID"`
 	} `positional-args:"yes"`
--- a/peridotknot/main.go
+++ b/peridotknot/main.go
@@ -18,7 +18,7 @@
 
 // globalOptions are the options of every command.
 type globalOptions struct {
-	Output  string `long:"output" choice:"text" choice:"json" default:"text" description:"how tables are printed"`
+	Output  string `long:"output" choice:"text" choice:"json" default:"text" description:"output format of tables"`
 	Version bool   `long:"version" description:"print the version and exit"`
 }
 
--- a/peridotknot/manifest.go
+++ b/peridotknot/manifest.go
@@ -43,7 +43,7 @@
 
 // storeOption is the option of commands that use the store.
 type storeOption struct {
-	Store string `long:"store" required:"yes" description:"IP and port of the key-value service"`
+	Store string `long:"store" required:"yes" description:"address of the key-value service, IP and port"`
 }
 
 // open returns a client of the store, a context with the timeout of the command, and a function that
@@ -86,8 +86,8 @@
 
 type manifestPublish struct {
 	storeOption
-	Base   uint64 `long:"base" description:"revision that the change was made from; refused if another was published since"`
-	Resume string `long:"resume" description:"publish id of an unknown outcome to settle; no file is read"`
+	Base   uint64 `long:"base" description:"revision that the change is based on; refused if another was published since"`
+	Resume string `long:"resume" description:"id of a publish whose outcome is unknown, to settle it; no file is read"`
 	Args   struct {
 		File string `positional-arg-name:"FILE"`
 	} `positional-args:"yes"`
@@ -138,8 +138,8 @@
 
 type manifestShow struct {
 	storeOption
-	Revision uint64 `long:"revision" description:"an earlier revision; the one in force if not given"`
-	History  bool   `long:"history" description:"list the revisions that the head remembers"`
+	Revision uint64 `long:"revision" description:"revision to show; the one in force if not given"`
+	History  bool   `long:"history" description:"list the latest revisions instead"`
 }
 
 // Execute prints the manifest of a revision, or the history.
--- a/peridotknot/measure.go
+++ b/peridotknot/measure.go
@@ -16,12 +16,12 @@
 }
 
 type measureCommand struct {
-	What  []string `long:"what" description:"replicas, accounts, datapath, control or changes; all if not given"`
-	Out   string   `long:"out" default:"measured.jsonl" description:"file for the series, JSON lines"`
-	Table string   `long:"table" description:"print the capacity table of a file of series, and measure nothing"`
-	Plots string   `long:"plots" description:"folder for one SVG plot a series"`
+	What  []string `long:"what" description:"what to measure: replicas, accounts, datapath, control or changes; all if not given"`
+	Out   string   `long:"out" default:"measured.jsonl" description:"file to write the series to, JSON lines"`
+	Table string   `long:"table" description:"file of series to print the capacity table of; nothing is measured"`
+	Plots string   `long:"plots" description:"folder for the SVG plots, one per series"`
 	// Profile covers the whole process with entry, stand-ins and callers.
-	Profile string `long:"profile" description:"file for a processor profile of the run"`
+	Profile string `long:"profile" description:"file for a CPU profile of the run"`
 }
 
 // Execute measures and prints the fitted series, or prints the capacity table of a file.
--- a/peridotknot/replay.go
+++ b/peridotknot/replay.go
@@ -25,10 +25,10 @@
 	Trace    string   `long:"trace" required:"yes" description:"trace file, JSON lines"`
 	Expect   string   `long:"expect" required:"yes" description:"stated outcome, YAML"`
 	Keys     string   `long:"keys" required:"yes" description:"YAML file of API keys by account"`
-	Entries  []string `long:"entry" required:"yes" description:"callers' address of an entry, or CALLERS,ADMIN; may be given again"`
-	Standins string   `long:"standins" description:"admin address of the stand-ins, for faults and the ledger of runs"`
-	Capacity float64  `long:"capacity" description:"tokens a second that the engines can make"`
-	Speed    float64  `long:"speed" default:"1" description:"how many times faster than recorded"`
+	Entries  []string `long:"entry" required:"yes" description:"address of an entry for callers, or CALLERS,ADMIN; may be repeated"`
+	Standins string   `long:"standins" description:"admin address of the stand-ins, for injecting faults and reading the ledger of runs"`
+	Capacity float64  `long:"capacity" description:"tokens per second that the engines can generate"`
+	Speed    float64  `long:"speed" default:"1" description:"factor by which the recorded times are sped up"`
 	Report   string   `long:"report" default:"report" description:"folder for the JSON and HTML reports"`
 }
 
--- a/peridotknot/status.go
+++ b/peridotknot/status.go
@@ -18,7 +18,7 @@
 }
 
 type statusCommand struct {
-	Entries []string `long:"entry" required:"yes" description:"IP and port of an entry's admin address; may be given again"`
+	Entries []string `long:"entry" required:"yes" description:"admin address of an entry, IP and port; may be repeated"`
 }
 
 // statusRow is the status of an entry, or the error of reading it.
--- a/peridotknot/trace.go
+++ b/peridotknot/trace.go
@@ -19,9 +19,9 @@
 }
 
 type traceMake struct {
-	Sample string `long:"sample" choice:"aare" choice:"glenmore" required:"yes" description:"whose profile"`
-	Seed   uint64 `long:"seed" default:"1" description:"seed of the random numbers"`
-	Calm   bool   `long:"calm" description:"leave the faults out"`
+	Sample string `long:"sample" choice:"aare" choice:"glenmore" required:"yes" description:"sample whose profile is used"`
+	Seed   uint64 `long:"seed" default:"1" description:"seed of the random number generator"`
+	Calm   bool   `long:"calm" description:"leave out the faults"`
 }
 
 // Execute prints the trace.
--- a/peridotknot/try.go
+++ b/peridotknot/try.go
@@ -24,16 +24,16 @@
 
 // tryCommand runs the samples in this process.
 type tryCommand struct {
-	Keep    bool    `long:"keep" description:"leave the deployment of the first sample up until interrupted"`
-	Sample  string  `long:"sample" choice:"aare" choice:"glenmore" description:"only this sample"`
-	Entries int     `long:"entries" default:"3" description:"how many entry daemons"`
-	Calm    bool    `long:"calm" description:"leave the faults out"`
-	Only    string  `long:"only" description:"of the faults only those of this name"`
-	Speed   float64 `long:"speed" default:"1" description:"how many times faster than recorded, for overload"`
-	Alone   bool    `long:"alone" description:"entries share nothing with each other, for comparison"`
-	Policy  string  `long:"policy" choice:"" choice:"random" choice:"best_of_two" choice:"least_connections" description:"choose targets this way, for comparison"`
+	Keep    bool    `long:"keep" description:"keep the deployment of the first sample running until interrupted"`
+	Sample  string  `long:"sample" choice:"aare" choice:"glenmore" description:"run only this sample"`
+	Entries int     `long:"entries" default:"3" description:"number of entry daemons"`
+	Calm    bool    `long:"calm" description:"leave out the faults"`
+	Only    string  `long:"only" description:"inject only the faults of this name"`
+	Speed   float64 `long:"speed" default:"1" description:"factor by which the recorded times are sped up, to cause overload"`
+	Alone   bool    `long:"alone" description:"entries share no state with each other, for comparison"`
+	Policy  string  `long:"policy" choice:"" choice:"random" choice:"best_of_two" choice:"least_connections" description:"policy for choosing targets, for comparison"`
 	Report  string  `long:"report" default:"report" description:"folder for the JSON and HTML reports"`
-	Verbose bool    `long:"verbose" description:"log what the entries do"`
+	Verbose bool    `long:"verbose" description:"write the logs of the entries to standard error"`
 }
 
 const startTimeout = 15 * time.Second
