--- a/pktarget/doc.go
+++ b/pktarget/doc.go
@@ -1,12 +1,11 @@
-// Package pktarget keeps what an entry knows of its targets: which there are,
-// what they hold, how loaded they are and whether they may get new work.
+// Package pktarget keeps an entry's table of targets: their identity, load and health, and
+// whether they accept new requests.
 //
-// What is known is always late. The VM list lags, reports lag, and peers send
-// counts some time after the fact. A target's load is therefore its last
-// report corrected by what this entry and its peers sent since, and a target
-// counts as leaving as soon as any one witness says so, while it takes more
-// than an empty VM list to drop a pool.
+// Every input is stale to some degree: the VM list, the reports of the targets and the request
+// counts of peers. The load of a target is therefore its last report, corrected by the requests
+// that this entry and its peers have started since. A target counts as leaving as soon as any one
+// source says so, whereas an empty VM list alone does not remove the targets of a pool.
 //
-// The table is split into shards, each under its own lock. The counts that
-// every request touches are atomic, so that choosing a route takes no lock.
+// The table is sharded, with one lock per shard. Counters that change with every request are
+// atomic, so that choosing a route takes no lock.
 package pktarget
--- a/pktarget/health.go
+++ b/pktarget/health.go
@@ -6,41 +6,40 @@
 )
 
 const (
-	ejectFirst = 500 * time.Millisecond
-	ejectMost  = 8 * time.Second
-	// ejectDoublings bounds the shift in the back-off.
-	ejectDoublings = 4
+	ejectBase = 500 * time.Millisecond
+	ejectMax  = 8 * time.Second
+	// maxEjectDoublings bounds the shift in the backoff.
+	maxEjectDoublings = 4
 )
 
-// health ejects a target after a failure, for a time that doubles with each
-// failure in a row.
+// health ejects a target after a failure, for a period that doubles with each consecutive
+// failure up to ejectMax.
 type health struct {
-	fails atomic.Int32
-	until atomic.Pointer[time.Time]
+	failures     atomic.Int32
+	ejectedUntil atomic.Pointer[time.Time]
 }
 
-func (h *health) failed(now time.Time) {
+func (h *health) recordFailure(now time.Time) {
 	if h.ejected(now) {
-		// Many streams fail together when a target dies. They are one
-		// failure; counted singly they would eject it for the longest time
-		// at once, though it may be back within a second.
+		// All streams of a target fail together when it dies. Counted separately they would
+		// eject it for ejectMax at once, although it may be back within a second.
 		return
 	}
-	n := h.fails.Add(1)
-	pause := ejectFirst << min(n-1, ejectDoublings)
-	until := now.Add(min(pause, ejectMost))
-	h.until.Store(&until)
+	n := h.failures.Add(1)
+	period := ejectBase << min(n-1, maxEjectDoublings)
+	until := now.Add(min(period, ejectMax))
+	h.ejectedUntil.Store(&until)
 }
 
-func (h *health) succeeded() {
-	if h.fails.Load() == 0 {
+func (h *health) recordSuccess() {
+	if h.failures.Load() == 0 {
 		return
 	}
-	h.fails.Store(0)
-	h.until.Store(nil)
+	h.failures.Store(0)
+	h.ejectedUntil.Store(nil)
 }
 
 func (h *health) ejected(now time.Time) bool {
-	until := h.until.Load()
+	until := h.ejectedUntil.Load()
 	return until != nil && now.Before(*until)
 }
--- a/pktarget/list.go
+++ b/pktarget/list.go
@@ -2,58 +2,57 @@
 
 import "peridotknot.example/pkid"
 
-// Listed is one VM of the platform's list.
+// Listed is an entry of the platform's VM list.
 type Listed struct {
 	Info
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// Change is what applying a VM list did.
+// Change summarizes what applying a VM list did to the table.
 type Change struct {
 	Added   int
 	Dropped int
-	// Kept counts targets that the list no longer has and that stay, because
-	// too many of their pool went at once and nothing else speaks against
-	// them.
+	// Kept counts targets that stay although the list no longer has them, because most of their
+	// pool went missing at once and calls to them do not fail.
 	Kept int
 }
 
-// Apply takes over a VM list.
+// Apply updates the table from a VM list.
 //
-// A platform fault can make the list empty or short, and dropping what is
-// missing would refuse every caller although all targets are alive. If more
-// than half of a pool goes missing at once, a target goes only if calls to it
-// fail too; the others stay until a later list has them or they fail.
+// A platform fault can make the list empty or short, and dropping the missing targets would
+// refuse every caller although all targets are alive. If more than half of a pool goes missing at
+// once, a target is dropped only if it is leaving or calls to it fail as well; the others stay
+// until a later list has them or they fail.
 func (t *Table) Apply(list []Listed) Change {
 	var c Change
 	present := make(map[pkid.TargetID]bool, len(list))
 	for _, l := range list {
 		present[l.ID] = true
-		if old, found := t.Find(l.ID); !found || old.Info != l.Info {
+		if known, found := t.Find(l.ID); !found || known.Info != l.Info {
 			c.Added++
 		}
-		t.put(l.Info).Leave(WitnessList, l.Leaving)
+		t.upsert(l.Info).Leave(WitnessList, l.Leaving)
 	}
 	all := t.All()
 	sizes := map[pkid.PoolID]int{}
 	missing := map[pkid.PoolID]int{}
-	for _, one := range all {
-		sizes[one.Info.Pool]++
-		if !present[one.Info.ID] {
-			missing[one.Info.Pool]++
+	for _, target := range all {
+		sizes[target.Info.Pool]++
+		if !present[target.Info.ID] {
+			missing[target.Info.Pool]++
 		}
 	}
-	for _, one := range all {
-		if present[one.Info.ID] {
+	for _, target := range all {
+		if present[target.Info.ID] {
 			continue
 		}
-		pool := one.Info.Pool
+		pool := target.Info.Pool
 		suspicious := 2*missing[pool] > sizes[pool]
-		if suspicious && !one.Silent() && !one.Leaving() {
+		if suspicious && !target.Silent() && !target.Leaving() {
 			c.Kept++
 			continue
 		}
-		t.drop(one.Info.ID)
+		t.remove(target.Info.ID)
 		c.Dropped++
 	}
 	return c
--- a/pktarget/table.go
+++ b/pktarget/table.go
@@ -11,14 +11,14 @@
 	"peridotknot.example/pkid"
 )
 
-const shards = 16
+const shardCount = 16
 
-// Table is all targets that an entry knows; the zero value is empty.
+// Table holds all targets that an entry knows; the zero value is empty.
 type Table struct {
-	shard [shards]shard
-	// changes counts what makes a route plan stale: targets that come, go or
-	// hold something else.
-	changes atomic.Uint64
+	shards [shardCount]shard
+	// generation goes up whenever a target is added or removed or its holding changes, which
+	// makes route plans stale.
+	generation atomic.Uint64
 }
 
 type shard struct {
@@ -26,27 +26,27 @@
 	targets map[pkid.TargetID]*Target
 }
 
-func (t *Table) of(id pkid.TargetID) *shard {
-	return &t.shard[xxhash.Sum64String(string(id))%shards]
+func (t *Table) shardOf(id pkid.TargetID) *shard {
+	return &t.shards[xxhash.Sum64String(string(id))%shardCount]
 }
 
-// Find returns the target with id.
+// Find returns the target with the given id and whether the table has it.
 func (t *Table) Find(id pkid.TargetID) (*Target, bool) {
-	s := t.of(id)
+	s := t.shardOf(id)
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	one, found := s.targets[id]
-	return one, found
+	target, found := s.targets[id]
+	return target, found
 }
 
 // All returns every target, ordered by id.
 func (t *Table) All() []*Target {
 	var out []*Target
-	for i := range t.shard {
-		s := &t.shard[i]
+	for i := range t.shards {
+		s := &t.shards[i]
 		s.mu.RLock()
-		for _, one := range s.targets {
-			out = append(out, one)
+		for _, target := range s.targets {
+			out = append(out, target)
 		}
 		s.mu.RUnlock()
 	}
@@ -56,15 +56,15 @@
 	return out
 }
 
-// Changes returns a number that goes up whenever a route plan becomes stale.
-func (t *Table) Changes() uint64 { return t.changes.Load() }
+// Changes returns the generation of the table, which goes up whenever route plans become stale.
+func (t *Table) Changes() uint64 { return t.generation.Load() }
 
-// Changed marks route plans as stale.
-func (t *Table) Changed() { t.changes.Add(1) }
+// Changed increments the generation, which marks route plans as stale.
+func (t *Table) Changed() { t.generation.Add(1) }
 
-// put adds a target, or replaces one whose VM came back elsewhere.
-func (t *Table) put(info Info) *Target {
-	s := t.of(info.ID)
+// upsert adds a target, or replaces it if its address or other fixed properties changed.
+func (t *Table) upsert(info Info) *Target {
+	s := t.shardOf(info.ID)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if old, found := s.targets[info.ID]; found && old.Info == info {
@@ -73,14 +73,14 @@
 	if s.targets == nil {
 		s.targets = map[pkid.TargetID]*Target{}
 	}
-	one := NewTarget(info)
-	s.targets[info.ID] = one
+	target := NewTarget(info)
+	s.targets[info.ID] = target
 	t.Changed()
-	return one
+	return target
 }
 
-func (t *Table) drop(id pkid.TargetID) {
-	s := t.of(id)
+func (t *Table) remove(id pkid.TargetID) {
+	s := t.shardOf(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.targets, id)
--- a/pktarget/target.go
+++ b/pktarget/target.go
@@ -7,7 +7,7 @@
 	"peridotknot.example/pkid"
 )
 
-// Info is what is fixed about a target while it runs.
+// Info holds the properties of a target that are fixed while it runs.
 type Info struct {
 	ID         pkid.TargetID   `json:"id"`
 	Addr       string          `json:"addr"`
@@ -16,7 +16,8 @@
 	DataCenter pkid.DataCenter `json:"data_center"`
 }
 
-// Holding is what an engine holds at present.
+// Holding describes what an engine has loaded: the model version, its adapters and the range of
+// layers.
 type Holding struct {
 	Model    pkid.ModelID     `json:"model"`
 	Version  pkid.Version     `json:"version"`
@@ -25,19 +26,19 @@
 	Range    pkid.Range       `json:"range"`
 }
 
-// Report is what a target last said of its load.
+// Report is a target's report on its load.
 type Report struct {
 	Active   int
 	Queued   int
 	MaxBatch int
-	// Step is the time of a decoding step at Active sequences, PerSeq what
-	// one more sequence adds to it, Prefill the time of a prompt token.
+	// Step is the duration of a decoding step at Active sequences, PerSeq what one more sequence
+	// adds to it, Prefill the prefill time per prompt token.
 	Step    time.Duration
 	PerSeq  time.Duration
 	Prefill time.Duration
 }
 
-// NewReport returns a report from numbers as they travel: counts, and times in
+// NewReport returns a report from the values of the wire format: counts, and times in
 // microseconds.
 func NewReport(active, queued, maxBatch int, stepUS, perSeqUS, prefillUS int64) Report {
 	return Report{
@@ -50,32 +51,32 @@
 	}
 }
 
-// Target is one target and its state. Info is fixed; the rest is safe for use
-// by many goroutines.
+// Target is one target and its state. Info does not change; the methods are safe for concurrent
+// use.
 type Target struct {
 	Info Info
 
-	holding atomic.Pointer[Holding]
-	report  atomic.Pointer[stamped]
-	own     atomic.Int64
-	peers   atomic.Int64
-	health  health
-	// leavingBy is a set of Witness bits.
+	holding      atomic.Pointer[Holding]
+	report       atomic.Pointer[reportSample]
+	ownRequests  atomic.Int64
+	peerRequests atomic.Int64
+	health       health
+	// leavingBy is the set of sources, one bit each, that say that the target is leaving.
 	leavingBy atomic.Uint32
 }
 
-// stamped is a report with the counts that stood when it was taken.
-type stamped struct {
+// reportSample is a report with its time and the request counts at that time.
+type reportSample struct {
 	Report
 	at    time.Time
 	own   int64
 	peers int64
 }
 
-// Witness is a source that says that a target is leaving.
+// Witness is a source of the information that a target is leaving; the values are bits of a set.
 type Witness uint32
 
-// Witnesses of a target's leaving.
+// Sources that can mark a target as leaving: the VM list, the target itself and the manifest.
 const (
 	WitnessList Witness = 1 << iota
 	WitnessSelf
@@ -85,20 +86,20 @@
 // NewTarget returns a target that has not reported yet.
 func NewTarget(info Info) *Target { return &Target{Info: info} }
 
-// Holding returns what the target holds; nil before its first report.
+// Holding returns what the target has loaded; nil before its first report.
 func (t *Target) Holding() *Holding { return t.holding.Load() }
 
-// Hold records what the target holds and says whether that changed.
+// Hold records what the target has loaded and returns whether that changed.
 func (t *Target) Hold(h Holding) bool {
 	old := t.holding.Load()
-	if old != nil && old.same(h) {
+	if old != nil && old.equal(h) {
 		return false
 	}
 	t.holding.Store(&h)
 	return true
 }
 
-func (h *Holding) same(o Holding) bool {
+func (h *Holding) equal(o Holding) bool {
 	if h.Model != o.Model || h.Version != o.Version || h.Role != o.Role || h.Range != o.Range {
 		return false
 	}
@@ -113,13 +114,13 @@
 	return true
 }
 
-// Observe records a report taken at now.
+// Observe records a report received at now, with the request counts of that moment.
 func (t *Target) Observe(r Report, now time.Time) {
-	t.report.Store(&stamped{Report: r, at: now, own: t.own.Load(), peers: t.peers.Load()})
+	t.report.Store(&reportSample{Report: r, at: now, own: t.ownRequests.Load(), peers: t.peerRequests.Load()})
 }
 
-// Numbers returns the target's last report and what it holds, for peers; the
-// holding is nil if the target did not report yet.
+// Numbers returns the target's last report and what it has loaded, as sent to peers; the holding
+// is nil before the first report.
 func (t *Target) Numbers() (Report, *Holding) {
 	s := t.report.Load()
 	if s == nil {
@@ -128,7 +129,7 @@
 	return s.Report, t.holding.Load()
 }
 
-// Reported returns the last report and its age at now.
+// Reported returns the last report, its age at now and whether there is one.
 func (t *Target) Reported(now time.Time) (Report, time.Duration, bool) {
 	s := t.report.Load()
 	if s == nil {
@@ -137,27 +138,27 @@
 	return s.Report, now.Sub(s.at), true
 }
 
-// Begin counts one more request of this entry on the target.
-func (t *Target) Begin() { t.own.Add(1) }
+// Begin counts a request that this entry starts on the target; Done must be called at its end.
+func (t *Target) Begin() { t.ownRequests.Add(1) }
 
-// Done counts one request less.
-func (t *Target) Done() { t.own.Add(-1) }
+// Done counts the end of a request that Begin counted.
+func (t *Target) Done() { t.ownRequests.Add(-1) }
 
-// Own returns how many requests this entry has on the target.
-func (t *Target) Own() int64 { return t.own.Load() }
+// Own returns the number of requests that this entry has in flight on the target.
+func (t *Target) Own() int64 { return t.ownRequests.Load() }
 
-// Peers returns how many requests other entries have on the target.
-func (t *Target) Peers() int64 { return t.peers.Load() }
+// Peers returns the number of requests that other entries have in flight on the target.
+func (t *Target) Peers() int64 { return t.peerRequests.Load() }
 
-// SetPeers records how many requests other entries have on the target.
-func (t *Target) SetPeers(n int64) { t.peers.Store(n) }
+// SetPeers records the number of requests that other entries have in flight on the target.
+func (t *Target) SetPeers(n int64) { t.peerRequests.Store(n) }
 
-// Load returns the number of sequences that the target probably has: the last
-// report corrected by what began and ended since, but never less than what the
-// entries know to be in flight. Without the correction all entries send to the
-// one target that looked idle in a report, until the next report.
+// Load returns the estimated number of sequences on the target: the last report corrected by the
+// requests that started and ended since, but at least the number that the entries have in flight.
+// Without the correction all entries send to a target that was idle in its last report until the
+// next one.
 func (t *Target) Load() int64 {
-	own, peers := t.own.Load(), t.peers.Load()
+	own, peers := t.ownRequests.Load(), t.peerRequests.Load()
 	s := t.report.Load()
 	if s == nil {
 		return own + peers
@@ -166,19 +167,20 @@
 	return max(corrected, own+peers)
 }
 
-// StepTime returns the probable time of one step with one more sequence.
+// StepTime returns the estimated duration of a decoding step with one more sequence; 0 before the
+// first report.
 func (t *Target) StepTime() time.Duration {
 	s := t.report.Load()
 	if s == nil {
 		return 0
 	}
-	more := t.Load() + 1 - int64(s.Active)
-	step := s.Step + time.Duration(more)*s.PerSeq
+	extra := t.Load() + 1 - int64(s.Active)
+	step := s.Step + time.Duration(extra)*s.PerSeq
 	return max(step, s.PerSeq)
 }
 
-// Room returns how many more sequences fit into the target's batch; a negative
-// number is the length of its queue.
+// Room returns how many more sequences fit into the target's batch; a negative number is the
+// length of its queue.
 func (t *Target) Room() int64 {
 	s := t.report.Load()
 	if s == nil {
@@ -187,7 +189,7 @@
 	return int64(s.MaxBatch) - t.Load()
 }
 
-// Rate returns the tokens a second that the target makes with a full batch.
+// Rate returns the tokens per second that the target generates with a full batch; 0 if unknown.
 func (t *Target) Rate() float64 {
 	s := t.report.Load()
 	if s == nil || s.MaxBatch == 0 {
@@ -200,8 +202,7 @@
 	return float64(s.MaxBatch) / full.Seconds()
 }
 
-// Leave records that a witness says that the target is leaving, or no longer
-// says so.
+// Leave records whether a source says that the target is leaving.
 func (t *Target) Leave(w Witness, leaving bool) {
 	for {
 		old := t.leavingBy.Load()
@@ -215,23 +216,23 @@
 	}
 }
 
-// LeavingBy says whether one witness says that the target is leaving.
+// LeavingBy returns whether the given source says that the target is leaving.
 func (t *Target) LeavingBy(w Witness) bool { return t.leavingBy.Load()&uint32(w) != 0 }
 
-// Leaving says whether any witness says that the target is leaving.
+// Leaving returns whether any source says that the target is leaving.
 func (t *Target) Leaving() bool { return t.leavingBy.Load() != 0 }
 
-// Usable says whether the target may get new work at now.
+// Usable returns whether the target may get new requests at now.
 func (t *Target) Usable(now time.Time) bool {
 	return !t.Leaving() && !t.health.ejected(now)
 }
 
-// Failed records a failed call at now.
-func (t *Target) Failed(now time.Time) { t.health.failed(now) }
+// Failed records a call that failed at now, which ejects the target unless it is ejected already.
+func (t *Target) Failed(now time.Time) { t.health.recordFailure(now) }
 
-// Succeeded records a call that went well.
-func (t *Target) Succeeded() { t.health.succeeded() }
+// Succeeded records a successful call, which ends the ejection and resets its backoff.
+func (t *Target) Succeeded() { t.health.recordSuccess() }
 
-// Silent says whether calls to the target have failed lately without one that
-// went well: the second witness for dropping it from a shrunken VM list.
-func (t *Target) Silent() bool { return t.health.fails.Load() > 0 }
+// Silent returns whether calls have failed and none has succeeded since. When most of a pool is
+// missing from the VM list, a target counts as lost only with this second sign.
+func (t *Target) Silent() bool { return t.health.failures.Load() > 0 }
