--- a/pkforward/doc.go
+++ b/pkforward/doc.go
@@ -1,7 +1,7 @@
-// Package pkforward sends one request to one target and tells what became of it.
+// Package pkforward sends one HTTP request to one target and reports the outcome.
 //
-// A Sender makes exactly one exchange for each call: it never repeats a request,
-// never follows a redirect and changes nothing of what passes through but the
-// headers that belong to one connection. An Answer is taken only from the exchange
-// that it belongs to. Whoever calls decides, by the verdict, whether to send again.
+// Each call of a Sender is exactly one HTTP exchange: it never retries, never follows a redirect
+// and passes everything through unchanged except hop-by-hop headers. A response counts only if its
+// headers name the request that was sent. Retries are up to the caller, who decides by the verdict
+// of the error.
 package pkforward
--- a/pkforward/events.go
+++ b/pkforward/events.go
@@ -7,42 +7,43 @@
 	"io"
 )
 
-// maxEvent bounds one event of a stream; usual ones have some hundred bytes.
-const maxEvent = 256 << 10
+// maxEventSize limits the size of one event in bytes.
+const maxEventSize = 256 << 10
 
-// errLongEvent is returned for an event over maxEvent.
-var errLongEvent = errors.New("an event of the stream is too long")
+// errEventTooLong is returned for an event larger than maxEventSize.
+var errEventTooLong = errors.New("event of the stream exceeds 256 KiB")
 
-// Event is one whole event of a stream.
+// Event is one complete event of a stream.
 type Event struct {
-	// Raw is the event with the blank line behind it, valid until the next one.
+	// Raw is the event including the blank line that ends it; it is valid until the next call of
+	// Next.
 	Raw []byte
-	// ID is the event's id; empty where it has none.
+	// ID is the value of the event's id field; empty if there is none.
 	ID string
 }
 
-// Events reads whole events from a stream: a target can break off in the middle
-// of one, and what came of it must not reach the caller.
+// Events reads complete events from a stream of server-sent events. A target can fail in the middle
+// of an event, and the partial event must not be forwarded.
 type Events struct {
 	in  *bufio.Reader
 	raw []byte
 }
 
-// NewEvents returns the events of a stream.
+// NewEvents returns a reader of the events in r.
 func NewEvents(r io.Reader) *Events {
 	const size = 4 << 10
 	return &Events{in: bufio.NewReaderSize(r, size)}
 }
 
-// Next returns the next event. io.EOF says that the stream ended between events,
-// io.ErrUnexpectedEOF that it ended within one.
+// Next returns the next event. The error is io.EOF if the stream ended between events and
+// io.ErrUnexpectedEOF if it ended within one.
 func (e *Events) Next() (Event, error) {
 	e.raw = e.raw[:0]
 	var ev Event
 	for {
 		line, err := e.in.ReadSlice('\n')
 		e.raw = append(e.raw, line...)
-		if errors.Is(err, bufio.ErrBufferFull) && len(e.raw) <= maxEvent {
+		if errors.Is(err, bufio.ErrBufferFull) && len(e.raw) <= maxEventSize {
 			continue
 		}
 		switch {
@@ -50,8 +51,8 @@
 			return ev, io.ErrUnexpectedEOF
 		case err != nil:
 			return ev, err
-		case len(e.raw) > maxEvent:
-			return ev, errLongEvent
+		case len(e.raw) > maxEventSize:
+			return ev, errEventTooLong
 		}
 		line = bytes.TrimRight(line, "\r\n")
 		if len(line) == 0 {
@@ -64,5 +65,5 @@
 	}
 }
 
-// Ready says whether more of the stream has come already.
+// Ready returns whether more of the stream is buffered already.
 func (e *Events) Ready() bool { return e.in.Buffered() > 0 }
--- a/pkforward/events_test.go
+++ b/pkforward/events_test.go
@@ -22,10 +22,9 @@
 	}
 }
 
-// A target breaks off anywhere in its stream. The caller must get the whole events
-// before the break and nothing of the one in it, whose rest would be joined to the
-// first event of the next attempt.
-func TestOnlyWholeEventsPass(t *testing.T) {
+// Guards against forwarding a partial event when a target fails in mid-stream: the caller would
+// read it joined to the first event of the next attempt.
+func TestPartialEventIsNotReturned(t *testing.T) {
 	const stream = "id: 1\ndata: a\n\nversion: 3\nid: 2\ndata: b\n\n"
 	first := strings.Index(stream, "version")
 	for cut := range len(stream) + 1 {
@@ -45,9 +44,9 @@
 	}
 }
 
-func TestAnEndlessEventIsRefused(t *testing.T) {
-	_, _, err := readAll(strings.NewReader("data: " + strings.Repeat("x", maxEvent+1) + "\n\n"))
-	assert.ErrorIs(t, err, errLongEvent)
+func TestOversizedEventFails(t *testing.T) {
+	_, _, err := readAll(strings.NewReader("data: " + strings.Repeat("x", maxEventSize+1) + "\n\n"))
+	assert.ErrorIs(t, err, errEventTooLong)
 }
 
 func FuzzEvents(f *testing.F) {
@@ -56,10 +55,10 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		whole, _, err := readAll(strings.NewReader(text))
 		if !strings.HasPrefix(text, whole) {
-			t.Fatalf("%q is no beginning of %q", whole, text)
+			t.Fatalf("%q is not a prefix of %q", whole, text)
 		}
 		if errors.Is(err, io.EOF) && whole != text {
-			t.Fatalf("%q was left out", text[len(whole):])
+			t.Fatalf("%q was not returned before EOF", text[len(whole):])
 		}
 	})
 }
--- a/pkforward/exchange.go
+++ b/pkforward/exchange.go
@@ -8,64 +8,64 @@
 	"peridotknot.example/pklayers"
 )
 
-// Ask is what a caller's headers say of its request.
+// Ask is the request metadata from a caller's headers.
 type Ask struct {
 	ID pkid.RequestID
-	// Left is how long the caller waits; zero where it does not say.
+	// Left is how long the caller waits for the response; zero if not given.
 	Left time.Duration
-	// Key is the API key; empty where there is none.
+	// Key is the API key; empty if there is none.
 	Key string
-	// PromptTokens and MostTokens are the size of a model request.
+	// PromptTokens and MostTokens are the prompt length and the output limit of a model request;
+	// zero if not given.
 	PromptTokens pkid.Tokens
 	MostTokens   pkid.Tokens
-	// LikelyTokens is the caller's estimate of the answer, often far off; zero
-	// where there is none.
+	// LikelyTokens is the caller's rough estimate of the output length; zero if not given.
 	LikelyTokens pkid.Tokens
 }
 
-// Send is what the router says to a target beside the caller's own words.
+// Send holds the values of the headers that the router adds to a request to a target.
 type Send struct {
-	// Left is how long the caller still waits.
+	// Left is the remaining time that the caller waits.
 	Left time.Duration
-	// Target is the replica that must be at the address.
+	// Target is the replica that is expected at the address.
 	Target pkid.TargetID
-	// Account is the client account that the request belongs to; empty where
-	// there is none.
+	// Account is the client account that the request belongs to; empty if there is none.
 	Account pkid.AccountID
-	// Path is the engines to pass through; empty for plain services.
+	// Path lists the engines of the route in order; empty for plain services.
 	Path []Hop
-	// LastEvent is the last event that the caller has; empty keeps its own word.
+	// LastEvent is the id of the last event that the caller received; if empty, the caller's own
+	// header is passed on.
 	LastEvent string
 }
 
-// Hop is one engine of a path with its address.
+// Hop is one engine of a path with its address and layers.
 type Hop struct {
 	Addr string
 	pklayers.Part
 }
 
-// Head is what the headers of an answer say.
+// Head is the metadata from the headers of a response.
 type Head struct {
-	// ID is the request that the answer says it belongs to.
+	// ID is the request that the response names as its own.
 	ID pkid.RequestID
-	// NotRun says that the target did not run the request and never will.
+	// NotRun is set if the target did not run the request and never will.
 	NotRun bool
-	// Sealed says that the answer bears the target's signature.
+	// Sealed is set if the response has the target's signature.
 	Sealed bool
-	// Fault is the address of the engine on the path that was at fault.
+	// Fault is the address of the engine on the path that failed.
 	Fault string
-	// Load is the target's own count of requests; negative where it does not say.
+	// Load is the number of requests that the target reports; negative if not given.
 	Load int
 }
 
-// Dialect reads and writes the headers of the wire.
+// Dialect parses and writes the headers of a platform's wire format.
 type Dialect interface {
-	// Ask reads a caller's headers.
+	// Ask parses the headers of a caller's request.
 	Ask(h http.Header) Ask
 	// Dress sets the router's headers on a request to a target.
 	Dress(h http.Header, s Send)
-	// Head reads the status and headers of an answer.
+	// Head parses the status and headers of a response.
 	Head(status int, h http.Header) Head
-	// Mark sets the request that an answer of the router's own belongs to.
+	// Mark sets the request id on a response that the router makes itself.
 	Mark(h http.Header, id pkid.RequestID)
 }
--- a/pkforward/sender.go
+++ b/pkforward/sender.go
@@ -15,24 +15,24 @@
 	"peridotknot.example/pkverdict"
 )
 
-// Request is a caller's request, read whole.
+// Request is a caller's request with its complete body.
 type Request struct {
 	Ask    Ask
 	Method string
 	Host   string
-	// URI is the path and query as the caller wrote them.
+	// URI is the path and query as received from the caller.
 	URI    string
 	Header http.Header
 	Body   []byte
 }
 
-// Sender makes exchanges with targets.
+// Sender makes HTTP exchanges with targets.
 type Sender struct {
 	dialect   Dialect
 	transport *http.Transport
 }
 
-// NewSender returns a sender whose connections keep to o.
+// NewSender returns a sender whose connections are made with o.
 func NewSender(d Dialect, o pkconn.Options) *Sender {
 	return &Sender{dialect: d, transport: o.Transport()}
 }
@@ -43,38 +43,37 @@
 	return nil
 }
 
-// Answer is the head of a target's answer; Close must be called.
+// Answer is the head of a target's response, with the body still to be read; Close must be called.
 type Answer struct {
 	Head
 	Status int
 	Header http.Header
 	Body   io.Reader
-	// Length is the length of the body, or -1 if it ends with its connection or
-	// comes in chunks.
+	// Length is the length of the body in bytes, or -1 if it is chunked or delimited by the end of
+	// the connection.
 	Length int64
 	resp   *http.Response
 	conn   *pkconn.Conn
 }
 
-// Close ends the exchange. A body that was not read to its end ends the
-// connection with it.
+// Close ends the exchange. If the body was not read to its end, the connection is closed as well.
 func (a *Answer) Close() { _ = a.resp.Body.Close() }
 
-// errStray is the cause of failures by an answer that belongs to another request.
-var errStray = errors.New("the answer belongs to another request")
+// errWrongRequest is the cause of the error for a response that names another request.
+var errWrongRequest = errors.New("response has the id of another request")
 
-// Do sends a request to the target at addr and returns the head of its answer. The
-// error is a *pkverdict.Error; an answer that says that the request did not run is
-// such an error too, of reason pkverdict.ReasonRefused, beside the answer's head.
+// Do sends a request to the target at addr and returns the head of its response. The error is a
+// *pkverdict.Error. If the response says that the request did not run, Do returns both the head and
+// an error with the reason pkverdict.ReasonRefused.
 func (s *Sender) Do(ctx context.Context, addr string, r *Request, out Send) (*Answer, error) {
-	var track pkconn.Tracker
-	req, err := s.request(track.Trace(ctx), addr, r, out)
+	var tracker pkconn.Tracker
+	req, err := s.request(tracker.Trace(ctx), addr, r, out)
 	if err != nil {
 		return nil, &pkverdict.Error{Verdict: pkverdict.NotRun, Reason: pkverdict.ReasonRefused, Err: err}
 	}
 	resp, err := s.transport.RoundTrip(req)
 	if err != nil {
-		progress := track.Progress()
+		progress := tracker.Progress()
 		reason := pkverdict.ReasonTargetLost
 		if !progress.Connected {
 			reason = pkverdict.ReasonUnreachable
@@ -84,39 +83,39 @@
 	a := &Answer{
 		Head:   s.dialect.Head(resp.StatusCode, resp.Header),
 		Status: resp.StatusCode, Header: resp.Header, Body: resp.Body, Length: resp.ContentLength,
-		resp: resp, conn: track.Conn(),
+		resp: resp, conn: tracker.Conn(),
 	}
 	if a.ID != r.Ask.ID {
-		// A target that sends a second answer leaves it where the next one is
-		// awaited. Taken for it, one caller would get another's answer.
-		a.drop()
-		return nil, &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: errStray}
+		// A surplus response of a target is read as the response to the next request on the
+		// connection. Accepting it would give one caller the response of another.
+		a.closeConn()
+		return nil, &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: errWrongRequest}
 	}
 	if a.NotRun {
-		a.discard()
+		a.drain()
 		return a, &pkverdict.Error{Verdict: pkverdict.NotRun, Reason: pkverdict.ReasonRefused, Err: fmt.Errorf("status %d", a.Status)}
 	}
 	return a, nil
 }
 
-// drop ends the connection of an answer, also if its body is empty and the
-// connection is in the pool again already.
-func (a *Answer) drop() {
+// closeConn closes the connection of a response, even if the body is empty and the connection is
+// back in the pool already.
+func (a *Answer) closeConn() {
 	if a.conn != nil {
 		_ = a.conn.Close()
 	}
 	a.Close()
 }
 
-// discard reads a short refusal to its end, so that its connection is used again.
-func (a *Answer) discard() {
-	const most = 4 << 10
-	_, _ = io.CopyN(io.Discard, a.Body, most)
+// drain reads a short response to its end, so that its connection can be reused.
+func (a *Answer) drain() {
+	const limit = 4 << 10
+	_, _ = io.CopyN(io.Discard, a.Body, limit)
 	a.Close()
 }
 
 func (s *Sender) request(ctx context.Context, addr string, r *Request, out Send) (*http.Request, error) {
-	u, err := target(addr, r.URI)
+	u, err := targetURL(addr, r.URI)
 	if err != nil {
 		return nil, err
 	}
@@ -129,8 +128,8 @@
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		Header: make(http.Header, len(r.Header)+4),
 		Body:   pkconn.Once(body),
-		// With a body set, 0 would mean that the length is not known, which -1
-		// says too; net/http then finds the body empty and sends none.
+		// With a non-nil Body, 0 and -1 both mean an unknown length; net/http then probes the body
+		// and sends none if it is empty.
 		ContentLength: int64(len(r.Body)),
 	}
 	if len(r.Body) == 0 {
@@ -138,16 +137,15 @@
 	}
 	Forward(req.Header, r.Header)
 	if _, given := r.Header["User-Agent"]; !given {
-		// net/http would add its own.
+		// Keeps net/http from adding its default.
 		req.Header["User-Agent"] = []string{""}
 	}
 	s.dialect.Dress(req.Header, out)
 	return req.WithContext(ctx), nil
 }
 
-// target returns the URL that sends uri to addr as it is, without decoding and
-// encoding it again.
-func target(addr, uri string) (*url.URL, error) {
+// targetURL returns the URL that sends uri to addr unchanged, without decoding and re-encoding it.
+func targetURL(addr, uri string) (*url.URL, error) {
 	u := &url.URL{Scheme: "http", Host: addr}
 	if strings.HasPrefix(uri, "/") && !strings.HasPrefix(uri, "//") {
 		u.Opaque = uri
@@ -161,32 +159,32 @@
 	return u, nil
 }
 
-// hopByHop are the headers that belong to one connection.
+// hopByHop lists the headers that apply to a single connection and are not forwarded.
 var hopByHop = map[string]bool{
 	"Connection": true, "Proxy-Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 }
 
-// Forward copies the headers that go through from one side to the other.
+// Forward copies all headers except hop-by-hop headers and those that Connection names.
 func Forward(to, from http.Header) {
-	var named map[string]bool
+	var connHeaders map[string]bool
 	for _, line := range from["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
-			if named == nil {
-				named = map[string]bool{}
+			if connHeaders == nil {
+				connHeaders = map[string]bool{}
 			}
-			named[textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name))] = true
+			connHeaders[textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name))] = true
 		}
 	}
 	for name, values := range from {
-		if !hopByHop[name] && !named[name] {
+		if !hopByHop[name] && !connHeaders[name] {
 			to[name] = values
 		}
 	}
 }
 
-// ReadWhole reads an answer of at most limit bytes; the error is a
-// *pkverdict.Error that says that the request may have run.
+// ReadWhole reads a body of at most limit bytes; the error is a *pkverdict.Error with the verdict
+// that the request may have run.
 func (a *Answer) ReadWhole(limit int64) ([]byte, error) {
 	var body []byte
 	var err error
@@ -197,7 +195,7 @@
 		body, err = io.ReadAll(io.LimitReader(a.Body, limit+1))
 	}
 	if err == nil && int64(len(body)) > limit {
-		err = fmt.Errorf("the answer has more than %d bytes", limit)
+		err = fmt.Errorf("response body exceeds %d bytes", limit)
 	}
 	if err != nil {
 		return nil, &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: err}
