--- a/pkanswer/doc.go
+++ b/pkanswer/doc.go
@@ -1,9 +1,7 @@
-// Package pkanswer runs one model answer to its end, over as many attempts as
-// it takes.
+// Package pkanswer runs a model request to its end, with as many attempts as that takes.
 //
-// An attempt is a stream over one chain. When a stage dies, goes silent or
-// breaks the order of tokens, the attempt is given up and cancelled, the target
-// at fault is avoided, and another chain resumes at the token that the caller
-// needs next. The caller's side sees one stream of tokens and either its end
-// mark or one error with a verdict.
+// An attempt is a stream over one chain of engines. When a stage fails, stops sending or breaks the
+// order of the tokens, the attempt is cancelled, the faulty target is avoided, and another chain
+// resumes at the next token that the caller needs. The caller sees one stream of tokens and at its
+// end either the finish reason or one error with a verdict.
 package pkanswer
--- a/pkanswer/run.go
+++ b/pkanswer/run.go
@@ -18,11 +18,10 @@
 	"peridotknot.example/pkverdict"
 )
 
-// Request is one model request that was admitted.
+// Request is an admitted model request.
 type Request struct {
 	ID pkid.RequestID
-	// Digest is the same for requests that differ by their ids alone; zero where that is not
-	// told.
+	// Digest is the same for requests that differ only in their ids; zero if unknown.
 	Digest       pkquarantine.Digest
 	Want         pkroute.Want
 	Prompt       string
@@ -32,126 +31,125 @@
 	Deadline     time.Time
 }
 
-// Finish is how a whole answer ended.
+// Finish is the result of an answer: its finish reason, empty if it failed, the tokens delivered
+// and the attempts made.
 type Finish struct {
 	Reason   string
 	Tokens   pkid.Tokens
 	Attempts int
 }
 
-// Sink takes the tokens of an answer in order; an error means that the caller
-// is gone.
+// Sink receives the tokens of an answer in order; an error means that the caller has disconnected.
 type Sink interface {
 	Token(index pkid.Index, text string) error
 }
 
-// Router chooses a chain that avoids some targets.
+// Router chooses a chain of targets and leaves out those in avoid.
 type Router interface {
 	Choose(now time.Time, want pkroute.Want, avoid []pkid.TargetID) (pkroute.Chain, error)
 }
 
-// Budget says whether one more attempt may be made.
+// Budget limits retries; Spend takes one from it and returns false if there is none left.
 type Budget interface {
 	Spend() bool
 }
 
-// Watcher is told what happens to an answer; calls come from its goroutine.
+// Watcher observes the attempts of an answer; its methods are called from the goroutine of Run.
 type Watcher interface {
-	// AttemptBegan returns the context to run the attempt in.
+	// AttemptBegan is called before an attempt and returns the context to run it in.
 	AttemptBegan(ctx context.Context, attempt pkid.Attempt, chain pkroute.Chain) context.Context
-	// AttemptEnded is told how the attempt ended; nil is a whole answer.
+	// AttemptEnded is called after an attempt; err is nil if the answer is complete.
 	AttemptEnded(ctx context.Context, attempt pkid.Attempt, err error)
 }
 
-// Options bounds the recovery of an answer.
+// Options limits the recovery of an answer.
 type Options struct {
-	// Attempts is how many attempts an answer may take.
+	// Attempts is the maximum number of attempts for an answer.
 	Attempts int
-	// Patience is how long an answer in progress waits for a chain when none
-	// is usable.
+	// Patience is how long an answer in progress waits for a usable chain.
 	Patience time.Duration
-	// Poll is how often it looks again.
+	// Poll is the interval at which it tries to choose a chain again.
 	Poll time.Duration
 }
 
-// DefaultOptions returns bounds for links within one region.
+// DefaultOptions returns limits for links within one region.
 func DefaultOptions() Options {
 	return Options{Attempts: 6, Patience: 2 * time.Second, Poll: 25 * time.Millisecond}
 }
 
-// Runner runs answers.
+// Runner runs answers; it is safe for concurrent use.
 type Runner struct {
 	Engine  pkengine.Engine
 	Router  Router
 	Options Options
-	// Cancel is told of attempts that were given up.
+	// Cancel is called for each abandoned attempt that may still run; addr is its first engine.
 	Cancel func(addr string, id pkid.RequestID, attempt pkid.Attempt)
-	// Quarantine is the requests under which engines have ended.
+	// Quarantine records the requests that crashed engines.
 	Quarantine pkquarantine.Table
 }
 
 // run is one answer in progress.
 type run struct {
 	*Runner
-	req      Request
-	sink     Sink
-	watch    Watcher
-	budget   Budget
-	relay    pkstream.Relay
-	said     strings.Builder
-	avoid    []pkid.TargetID
-	verdict  pkverdict.Verdict
-	attempts int
+	req       Request
+	sink      Sink
+	watcher   Watcher
+	budget    Budget
+	relay     pkstream.Relay
+	delivered strings.Builder
+	avoid     []pkid.TargetID
+	verdict   pkverdict.Verdict
+	attempts  int
 }
 
-// errCaller marks an error of the caller's side, which no attempt can mend.
-var errCaller = errors.New("the caller is gone")
+// errCallerGone marks an error on the caller's side, after which no further attempt is made.
+var errCallerGone = errors.New("caller disconnected")
 
-// errQuarantined ends a request under which too many engines have ended.
-var errQuarantined = errors.New("engines that ran this request have ended")
+// errQuarantined is the cause of the error for a request that crashed too many engines.
+var errQuarantined = errors.New("request quarantined: engines crashed while running it")
 
-// goneTimeout bounds the question whether an engine is there after its stream broke off: one
-// whose process is gone refuses the connection at once.
-const goneTimeout = 300 * time.Millisecond
+// crashProbeTimeout limits the probe that checks whether an engine still runs after its stream
+// failed. A host whose engine process has ended refuses the connection at once.
+const crashProbeTimeout = 300 * time.Millisecond
 
-// endedUnder suspects the request of an attempt that gave no token, where its engine is gone.
-// Sent on as if only the engine had failed, a request that crashes each engine which begins to
-// run it ended six engines, and six more each time it came again.
-func (a *run) endedUnder(ctx context.Context, head *pktarget.Target, before pkid.Index) {
-	if a.relay.Next() > before || ctx.Err() != nil || head.Leaving() {
+// detectCrash records a crash against the request if the attempt delivered no token and its engine
+// no longer runs. Otherwise a request that crashes engines would be retried on one engine after
+// another.
+func (a *run) detectCrash(ctx context.Context, first *pktarget.Target, startIndex pkid.Index) {
+	if a.relay.Next() > startIndex || ctx.Err() != nil || first.Leaving() {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, goneTimeout)
+	ctx, cancel := context.WithTimeout(ctx, crashProbeTimeout)
 	defer cancel()
-	if _, err := a.Engine.Load(ctx, head.Info.Addr); errors.Is(err, syscall.ECONNREFUSED) {
-		a.Quarantine.Crashed(time.Now(), a.req.Digest, pkquarantine.StartOf(head.Info.ID, 0))
+	if _, err := a.Engine.Load(ctx, first.Info.Addr); errors.Is(err, syscall.ECONNREFUSED) {
+		a.Quarantine.Crashed(time.Now(), a.req.Digest, pkquarantine.StartOf(first.Info.ID, 0))
 	}
 }
 
 // Run runs an answer; the error is a *pkverdict.Error.
-func (r *Runner) Run(ctx context.Context, req Request, sink Sink, budget Budget, watch Watcher) (Finish, error) {
-	a := &run{Runner: r, req: req, sink: sink, budget: budget, watch: watch, verdict: pkverdict.NotRun}
+func (r *Runner) Run(ctx context.Context, req Request, sink Sink, budget Budget, watcher Watcher) (Finish, error) {
+	a := &run{Runner: r, req: req, sink: sink, budget: budget, watcher: watcher, verdict: pkverdict.NotRun}
 	for {
 		if r.Quarantine.Left(time.Now(), req.Digest) > 0 {
-			return a.finish(""), a.fail(pkverdict.ReasonQuarantined, errQuarantined)
+			return a.finish(""), a.failure(pkverdict.ReasonQuarantined, errQuarantined)
 		}
-		chain, err := a.chain(ctx)
+		chain, err := a.chooseChain(ctx)
 		if err != nil {
-			return a.finish(""), a.fail(pkverdict.ReasonNoRoute, err)
+			return a.finish(""), a.failure(pkverdict.ReasonNoRoute, err)
 		}
 		reason, err := a.attempt(ctx, chain)
 		if err == nil {
 			r.Quarantine.Ran(time.Now(), req.Digest)
 			return a.finish(reason), nil
 		}
-		if errors.Is(err, errCaller) || ctx.Err() != nil {
-			return a.finish(""), a.fail(reasonOf(ctx), err)
+		if errors.Is(err, errCallerGone) || ctx.Err() != nil {
+			return a.finish(""), a.failure(reasonOf(ctx), err)
 		}
 		if a.attempts >= r.Options.Attempts {
-			return a.finish(""), a.fail(pkverdict.ReasonTargetLost, fmt.Errorf("gave up after %d attempts: %w", a.attempts, err))
+			return a.finish(""), a.failure(pkverdict.ReasonTargetLost, fmt.Errorf("gave up after %d attempts: %w", a.attempts, err))
 		}
 		if !a.budget.Spend() {
-			return a.finish(""), a.fail(pkverdict.ReasonTargetLost, fmt.Errorf("the pool's retry budget is spent: %w", err))
+			return a.finish(""), a.failure(pkverdict.ReasonTargetLost, fmt.Errorf("retry budget of the pool exhausted: %w", err))
 		}
 	}
 }
@@ -170,19 +168,19 @@
 	return Finish{Reason: reason, Tokens: pkid.Tokens(a.relay.Next()), Attempts: a.attempts}
 }
 
-func (a *run) fail(reason pkverdict.Reason, err error) error {
+func (a *run) failure(reason pkverdict.Reason, err error) error {
 	return &pkverdict.Error{Verdict: a.verdict, Reason: reason, Err: err}
 }
 
-// chain chooses a chain. An answer in progress waits a little when there is
-// none: most losses heal within a second, and refusing would waste what the
-// caller has. A request that has not begun is refused at once instead.
-func (a *run) chain(ctx context.Context) (pkroute.Chain, error) {
+// chooseChain chooses a chain. If none is usable, an answer in progress waits for one: most losses
+// are short, and failing would waste the tokens already delivered. A request that has not been
+// attempted yet fails at once.
+func (a *run) chooseChain(ctx context.Context) (pkroute.Chain, error) {
 	var waited time.Duration
 	for {
 		chain, err := a.Router.Choose(time.Now(), a.req.Want, a.avoid)
 		if err != nil && len(a.avoid) > 0 {
-			// A target that failed once is better than none.
+			// Retrying a failed target is better than failing the request.
 			chain, err = a.Router.Choose(time.Now(), a.req.Want, nil)
 		}
 		if err == nil || a.attempts == 0 || waited >= a.Options.Patience {
@@ -198,66 +196,66 @@
 // attempt runs one attempt to its end and returns the finish reason.
 func (a *run) attempt(ctx context.Context, chain pkroute.Chain) (string, error) {
 	a.attempts++
-	before := a.relay.Next()
-	number := a.relay.Begin()
+	startIndex := a.relay.Next()
+	attempt := a.relay.Begin()
 	for _, t := range chain.Stages {
 		t.Begin()
 		defer t.Done()
 	}
-	ctx = a.watch.AttemptBegan(ctx, number, chain)
-	reason, err := a.stream(ctx, number, chain)
-	a.watch.AttemptEnded(ctx, number, err)
-	if err != nil && !a.refused(err) {
-		a.endedUnder(ctx, chain.Stages[0], before)
-		a.Cancel(chain.Stages[0].Info.Addr, a.req.ID, number)
+	ctx = a.watcher.AttemptBegan(ctx, attempt, chain)
+	reason, err := a.stream(ctx, attempt, chain)
+	a.watcher.AttemptEnded(ctx, attempt, err)
+	if err != nil && !a.notRun(err) {
+		a.detectCrash(ctx, chain.Stages[0], startIndex)
+		a.Cancel(chain.Stages[0].Info.Addr, a.req.ID, attempt)
 	}
 	return reason, err
 }
 
-func (a *run) refused(err error) bool {
+func (a *run) notRun(err error) bool {
 	var failure *pkverdict.Error
 	return errors.As(err, &failure) && failure.Verdict == pkverdict.NotRun
 }
 
-func (a *run) stream(ctx context.Context, number pkid.Attempt, chain pkroute.Chain) (string, error) {
-	head := chain.Stages[0]
-	stream, err := a.Engine.Open(ctx, head.Info.Addr, a.open(number, chain))
+func (a *run) stream(ctx context.Context, attempt pkid.Attempt, chain pkroute.Chain) (string, error) {
+	first := chain.Stages[0]
+	stream, err := a.Engine.Open(ctx, first.Info.Addr, a.openRequest(attempt, chain))
 	if err != nil {
-		if !a.refused(err) {
+		if !a.notRun(err) {
 			a.verdict = pkverdict.MayHaveRun
 		}
-		a.blame(ctx, head)
+		a.recordFailure(ctx, first)
 		return "", err
 	}
 	a.verdict = pkverdict.MayHaveRun
-	defer func() { _ = stream.Close() }() // the connection goes either way
+	defer func() { _ = stream.Close() }() // the connection is released even if this fails
 	for {
 		ev, err := stream.Next()
 		if err != nil {
-			a.blame(ctx, head)
+			a.recordFailure(ctx, first)
 			return "", err
 		}
-		done, err := a.event(number, chain, ev, time.Now())
+		done, err := a.handleEvent(attempt, chain, ev, time.Now())
 		if err != nil {
 			return "", err
 		}
 		if done {
-			succeed(chain)
+			recordSuccess(chain)
 			return ev.End, nil
 		}
 	}
 }
 
-func (a *run) open(number pkid.Attempt, chain pkroute.Chain) pkengine.Open {
+func (a *run) openRequest(attempt pkid.Attempt, chain pkroute.Chain) pkengine.Open {
 	o := pkengine.Open{
 		Stream:       a.req.ID,
-		Attempt:      number,
+		Attempt:      attempt,
 		Model:        a.req.Want.Model,
 		Version:      a.req.Want.Version,
 		Adapter:      a.req.Want.Adapter,
 		Prompt:       a.req.Prompt,
 		PromptTokens: a.req.PromptTokens,
-		Delivered:    a.said.String(),
+		Delivered:    a.delivered.String(),
 		Next:         a.relay.Next(),
 		MaxTokens:    a.req.MaxTokens,
 		Priority:     a.req.Priority,
@@ -270,57 +268,57 @@
 	return o
 }
 
-// event takes one event and says whether it was the end of a whole answer.
-func (a *run) event(number pkid.Attempt, chain pkroute.Chain, ev pkengine.Event, now time.Time) (bool, error) {
+// handleEvent processes one event and returns whether it completed the answer.
+func (a *run) handleEvent(attempt pkid.Attempt, chain pkroute.Chain, ev pkengine.Event, now time.Time) (bool, error) {
 	switch {
 	case ev.Beat:
 		return false, nil
 	case ev.Lost != "":
-		return false, a.lost(chain, ev.Lost, now)
+		return false, a.stageLost(chain, ev.Lost, now)
 	case ev.End != "":
-		if err := a.relay.End(number, ev.Total); err != nil {
+		if err := a.relay.End(attempt, ev.Total); err != nil {
 			chain.Stages[0].Failed(now)
 			return false, err
 		}
 		return true, nil
 	}
-	switch a.relay.Token(number, ev.Index) {
+	switch a.relay.Token(attempt, ev.Index) {
 	case pkstream.Drop:
 		return false, nil
 	case pkstream.Replace:
 		chain.Stages[0].Failed(now)
 		a.avoid = append(a.avoid, chain.Stages[0].Info.ID)
-		return false, fmt.Errorf("token %d came while %d was next", ev.Index, a.relay.Next())
+		return false, fmt.Errorf("gap in the stream: got token %d, want token %d", ev.Index, a.relay.Next())
 	default:
 	}
-	a.said.WriteString(ev.Text)
+	a.delivered.WriteString(ev.Text)
 	if err := a.sink.Token(ev.Index, ev.Text); err != nil {
-		return false, fmt.Errorf("%w: %w", errCaller, err)
+		return false, fmt.Errorf("%w: %w", errCallerGone, err)
 	}
 	return false, nil
 }
 
-// lost blames the stage that the engines say they lost.
-func (a *run) lost(chain pkroute.Chain, id pkid.TargetID, now time.Time) error {
+// stageLost records the failure of the stage that the engines reported as lost.
+func (a *run) stageLost(chain pkroute.Chain, id pkid.TargetID, now time.Time) error {
 	a.avoid = append(a.avoid, id)
 	for _, t := range chain.Stages {
 		if t.Info.ID == id {
 			t.Failed(now)
 		}
 	}
-	return fmt.Errorf("stage %s was lost", id)
+	return fmt.Errorf("engine reported the loss of stage %s", id)
 }
 
-func (a *run) blame(ctx context.Context, t *pktarget.Target) {
+func (a *run) recordFailure(ctx context.Context, t *pktarget.Target) {
 	if ctx.Err() != nil {
-		// The caller left or its time was up; that is not the target's doing.
+		// The caller disconnected or the deadline passed, which is no failure of the target.
 		return
 	}
 	t.Failed(time.Now())
 	a.avoid = append(a.avoid, t.Info.ID)
 }
 
-func succeed(chain pkroute.Chain) {
+func recordSuccess(chain pkroute.Chain) {
 	for _, t := range chain.Stages {
 		t.Succeeded()
 	}
