--- a/pkengine/client.go
+++ b/pkengine/client.go
@@ -24,27 +24,27 @@
 	PathOrders  = "/engine/v1/orders"
 )
 
-// HeaderNotStarted on a refusal says that the engine did not start.
+// HeaderNotStarted is "true" on an error response if the engine did not start the request.
 const HeaderNotStarted = "X-Engine-Not-Started"
 
 const (
-	maxReply    = 1 << 20
-	traceParent = "traceparent"
+	maxResponseBytes  = 1 << 20
+	headerTraceParent = "traceparent"
 )
 
-// ErrFenced says that an engine has seen a higher fencing number.
-var ErrFenced = errors.New("the engine has seen a higher fencing number")
+// ErrFenced is returned for an order with a fencing token lower than one the engine has seen.
+var ErrFenced = errors.New("engine has seen a higher fencing token")
 
-// Client speaks the engine contract over HTTP.
+// Client implements Engine over HTTP.
 type Client struct {
 	http *http.Client
-	// silence is how long a stream may say nothing before it counts as lost.
-	silence time.Duration
+	// idleTimeout is the longest time without an event after which a stream counts as lost.
+	idleTimeout time.Duration
 }
 
-// NewClient returns a client whose streams count as lost after silence.
-func NewClient(o pkconn.Options, silence time.Duration) *Client {
-	return &Client{http: &http.Client{Transport: o.Transport()}, silence: silence}
+// NewClient returns a client whose streams count as lost after idleTimeout without an event.
+func NewClient(o pkconn.Options, idleTimeout time.Duration) *Client {
+	return &Client{http: &http.Client{Transport: o.Transport()}, idleTimeout: idleTimeout}
 }
 
 // Close closes idle connections.
@@ -60,41 +60,41 @@
 		return nil, &pkverdict.Error{Verdict: pkverdict.NotRun, Reason: pkverdict.ReasonRefused, Err: err}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
-	guard := time.AfterFunc(c.silence, func() { cancel(errSilent) })
-	var track pkconn.Tracker
-	req, err := http.NewRequestWithContext(track.Trace(ctx), http.MethodPost, "http://"+addr+PathStreams, pkconn.Once(bytes.NewReader(body)))
+	idleTimer := time.AfterFunc(c.idleTimeout, func() { cancel(errIdle) })
+	var tracker pkconn.Tracker
+	req, err := http.NewRequestWithContext(tracker.Trace(ctx), http.MethodPost, "http://"+addr+PathStreams, pkconn.Once(bytes.NewReader(body)))
 	if err != nil {
-		guard.Stop()
+		idleTimer.Stop()
 		cancel(nil)
 		return nil, &pkverdict.Error{Verdict: pkverdict.NotRun, Reason: pkverdict.ReasonRefused, Err: err}
 	}
 	req.ContentLength = int64(len(body))
 	if tp := traceFrom(ctx); tp != "" {
-		req.Header.Set(traceParent, tp)
+		req.Header.Set(headerTraceParent, tp)
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		guard.Stop()
+		idleTimer.Stop()
 		err = withCause(ctx, err)
 		cancel(nil)
-		return nil, &pkverdict.Error{Verdict: pkverdict.Decide(track.Progress()), Reason: pkverdict.ReasonTargetLost, Err: err}
+		return nil, &pkverdict.Error{Verdict: pkverdict.Decide(tracker.Progress()), Reason: pkverdict.ReasonTargetLost, Err: err}
 	}
 	if resp.StatusCode != http.StatusOK {
 		defer cancel(nil)
-		guard.Stop()
-		return nil, refusal(resp)
+		idleTimer.Stop()
+		return nil, statusError(resp)
 	}
-	return newReader(ctx, cancel, resp.Body, guard, c.silence), nil
+	return newReader(ctx, cancel, resp.Body, idleTimer, c.idleTimeout), nil
 }
 
-func refusal(resp *http.Response) error {
+func statusError(resp *http.Response) error {
 	text := drain(resp.Body)
 	progress := pkverdict.Progress{Connected: true, Written: true}
 	progress.Refused = resp.Header.Get(HeaderNotStarted) == "true"
 	return &pkverdict.Error{
 		Verdict: pkverdict.Decide(progress),
 		Reason:  pkverdict.ReasonRefused,
-		Err:     fmt.Errorf("engine answered %d: %s", resp.StatusCode, text),
+		Err:     fmt.Errorf("engine returned status %d: %s", resp.StatusCode, text),
 	}
 }
 
@@ -104,14 +104,15 @@
 	return c.call(ctx, http.MethodDelete, target, nil, nil)
 }
 
-// Load returns the engine's report on itself.
+// Load returns the engine's report on its state and load.
 func (c *Client) Load(ctx context.Context, addr string) (Load, error) {
 	var l Load
 	err := c.call(ctx, http.MethodGet, "http://"+addr+PathLoad, nil, &l)
 	return l, err
 }
 
-// Order tells the engine what to hold.
+// Order sends the engine the state it should reach; the error is ErrFenced if a later owner has
+// sent an order.
 func (c *Client) Order(ctx context.Context, addr string, o Order) error {
 	return c.call(ctx, http.MethodPost, "http://"+addr+PathOrders, o, nil)
 }
@@ -122,14 +123,14 @@
 	if in != nil {
 		raw, err := json.Marshal(in)
 		if err != nil {
-			return fmt.Errorf("encode call to engine: %w", err)
+			return fmt.Errorf("encode engine request: %w", err)
 		}
 		body = bytes.NewReader(raw)
 		size = int64(len(raw))
 	}
 	req, err := http.NewRequestWithContext(ctx, method, target, pkconn.Once(body))
 	if err != nil {
-		return fmt.Errorf("make call to engine: %w", err)
+		return fmt.Errorf("create engine request: %w", err)
 	}
 	req.ContentLength = size
 	if in == nil {
@@ -137,37 +138,37 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return fmt.Errorf("call engine: %w", err)
+		return fmt.Errorf("send engine request: %w", err)
 	}
 	if resp.StatusCode == http.StatusConflict {
 		drain(resp.Body)
 		return ErrFenced
 	}
 	if resp.StatusCode >= http.StatusMultipleChoices {
-		return fmt.Errorf("engine answered %s: %s", strconv.Itoa(resp.StatusCode), drain(resp.Body))
+		return fmt.Errorf("engine returned status %s: %s", strconv.Itoa(resp.StatusCode), drain(resp.Body))
 	}
 	defer drain(resp.Body)
 	if out == nil {
 		return nil
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxReply)).Decode(out); err != nil {
-		return fmt.Errorf("decode engine's answer: %w", err)
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(out); err != nil {
+		return fmt.Errorf("decode engine response: %w", err)
 	}
 	return nil
 }
 
-// drain reads a little of a body, so that its connection can be used again,
-// and returns the start of it for an error text.
+// drain reads and closes a short body, so that its connection can be reused, and returns the start
+// of it for an error text.
 func drain(body io.ReadCloser) string {
-	const keep = 200
-	raw, _ := io.ReadAll(io.LimitReader(body, 4096)) // the text is a courtesy; the status already decided
+	const maxText = 200
+	raw, _ := io.ReadAll(io.LimitReader(body, 4096)) // the text is only informative; the status decides
 	_ = body.Close()
-	return string(raw[:min(len(raw), keep)])
+	return string(raw[:min(len(raw), maxText)])
 }
 
 type traceKey struct{}
 
-// WithTrace returns ctx with a W3C traceparent value for calls to engines.
+// WithTrace returns ctx with a W3C traceparent value, which Open sends to the engine.
 func WithTrace(ctx context.Context, traceparent string) context.Context {
 	return context.WithValue(ctx, traceKey{}, traceparent)
 }
--- a/pkengine/client_test.go
+++ b/pkengine/client_test.go
@@ -16,7 +16,7 @@
 	"peridotknot.example/pkverdict"
 )
 
-func engineThat(t *testing.T, do http.HandlerFunc) (addr string, conns *atomic.Int64) {
+func startEngine(t *testing.T, do http.HandlerFunc) (addr string, conns *atomic.Int64) {
 	conns = new(atomic.Int64)
 	srv := httptest.NewUnstartedServer(do)
 	srv.Config.ConnState = func(_ net.Conn, s http.ConnState) {
@@ -47,30 +47,29 @@
 	}
 }
 
-// Answers come one after the other. If the stream is closed before the end of
-// its HTTP body is read, the connection is thrown away, and each request pays
-// for a new one.
-func TestConnectionIsUsedAgain(t *testing.T) {
-	addr, conns := engineThat(t, func(w http.ResponseWriter, _ *http.Request) {
+// Guards against a new connection for each answer, which is the effect of closing a stream before
+// its HTTP body is read to the end.
+func TestConnectionIsReused(t *testing.T) {
+	addr, conns := startEngine(t, func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprintln(w, `{"i":0,"t":"a"}`)
 		_ = http.NewResponseController(w).Flush()
 		fmt.Fprintln(w, `{"i":1,"end":"stop","total":1}`)
 		_ = http.NewResponseController(w).Flush()
-		time.Sleep(time.Millisecond) // the end of the body comes by itself
+		time.Sleep(time.Millisecond) // the end of the body arrives separately
 	})
 	c := NewClient(pkconn.DefaultOptions(), time.Minute)
 	defer func() { assert.NilError(t, c.Close()) }()
 	const answers = 20
 	for range answers {
 		assert.NilError(t, readAll(t, c, addr))
-		time.Sleep(20 * time.Millisecond) // it is read behind the answer
+		time.Sleep(20 * time.Millisecond) // the body is drained in the background
 	}
 	assert.Assert(t, conns.Load() < answers/2, "%d connections for %d answers", conns.Load(), answers)
 }
 
-// An engine answers in ways that break the contract. The reader must get one
-// error with a verdict, and must not wait or read without end.
-func TestHostileEngines(t *testing.T) {
+// Guards against hanging on an engine that violates the contract: the reader must return one error
+// with the right verdict.
+func TestContractViolations(t *testing.T) {
 	cases := map[string]struct {
 		do      http.HandlerFunc
 		verdict pkverdict.Verdict
@@ -82,15 +81,15 @@
 		"fails without saying whether it started": {func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusInternalServerError)
 		}, pkverdict.MayHaveRun},
-		"ends without an end event":    {func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, `{"i":0,"t":"a"}`) }, pkverdict.MayHaveRun},
-		"sends no JSON":                {func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "hello") }, pkverdict.MayHaveRun},
-		"sends a line without end":     {func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, strings.Repeat("x", 1<<20)) }, pkverdict.MayHaveRun},
-		"sends a negative index":       {func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, `{"i":-4}`) }, pkverdict.MayHaveRun},
-		"goes silent after its header": {silent, pkverdict.MayHaveRun},
+		"ends without an end event":      {func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, `{"i":0,"t":"a"}`) }, pkverdict.MayHaveRun},
+		"sends no JSON":                  {func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "hello") }, pkverdict.MayHaveRun},
+		"sends a line without end":       {func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, strings.Repeat("x", 1<<20)) }, pkverdict.MayHaveRun},
+		"sends a negative index":         {func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, `{"i":-4}`) }, pkverdict.MayHaveRun},
+		"stops sending after its header": {stall, pkverdict.MayHaveRun},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			addr, _ := engineThat(t, c.do)
+			addr, _ := startEngine(t, c.do)
 			client := NewClient(pkconn.DefaultOptions(), 100*time.Millisecond)
 			defer func() { assert.NilError(t, client.Close()) }()
 			err := readAll(t, client, addr)
@@ -101,13 +100,13 @@
 	}
 }
 
-func silent(w http.ResponseWriter, r *http.Request) {
+func stall(w http.ResponseWriter, r *http.Request) {
 	_ = http.NewResponseController(w).Flush()
 	<-r.Context().Done()
 }
 
 func asError(err error, to **pkverdict.Error) bool {
-	failure, ok := err.(*pkverdict.Error) //nolint:errorlint // the contract is this very type
+	failure, ok := err.(*pkverdict.Error) //nolint:errorlint // the contract requires this exact type
 	*to = failure
 	return ok
 }
--- a/pkengine/doc.go
+++ b/pkengine/doc.go
@@ -1,8 +1,8 @@
-// Package pkengine is the contract with model engines, and its HTTP adapter.
+// Package pkengine defines the contract with model engines and implements its HTTP client.
 //
-// An entry chooses a route, a chain of engines whose layer ranges cover the
-// model once, and opens a stream at the first one. The engines pass activations
-// along the route among themselves; the entry sees one event a token. Tokens
-// carry their index. A stream that is idle sends beats, so that silence means
-// that something is lost, and an answer is whole only with its end event.
+// An entry chooses a route, a chain of engines whose layer ranges cover the model exactly once, and
+// opens a stream at the first of them. The engines pass activations along the route among
+// themselves; the entry receives one event per token. Each token carries its index. A stream
+// without tokens sends heartbeats, so that a missing event shows that an engine or a connection was
+// lost, and an answer is complete only with its end event.
 package pkengine
--- a/pkengine/engine.go
+++ b/pkengine/engine.go
@@ -7,7 +7,8 @@
 	"peridotknot.example/pkid"
 )
 
-// BeatEvery is how often an open stream sends an event at the least.
+// BeatEvery is the longest interval between two events of an open stream; without a token, the
+// engine sends a heartbeat.
 const BeatEvery = 150 * time.Millisecond
 
 // Hop is one stage of a route.
@@ -18,7 +19,7 @@
 	End    pkid.Layer    `json:"end"`
 }
 
-// Open asks the first engine of a route for a stream.
+// Open is the request to the first engine of a route for a stream.
 type Open struct {
 	Stream       pkid.RequestID `json:"stream"`
 	Attempt      pkid.Attempt   `json:"attempt"`
@@ -28,8 +29,8 @@
 	Route        []Hop          `json:"route"`
 	Prompt       string         `json:"prompt"`
 	PromptTokens pkid.Tokens    `json:"prompt_tokens"`
-	// Delivered is the text that the caller has already, Next the index of
-	// the first token that it still needs.
+	// Delivered is the text that the caller has already received, Next the index of the first
+	// token that it still needs.
 	Delivered  string      `json:"delivered,omitempty"`
 	Next       pkid.Index  `json:"next,omitempty"`
 	MaxTokens  pkid.Tokens `json:"max_tokens"`
@@ -37,20 +38,20 @@
 	DeadlineMS int64       `json:"deadline_ms"`
 }
 
-// Event is one line of a stream: a token, a beat, the end or a loss.
+// Event is one line of a stream: a token, a heartbeat, the end or the loss of a stage.
 type Event struct {
 	Index pkid.Index `json:"i"`
 	Text  string     `json:"t,omitempty"`
 	Beat  bool       `json:"beat,omitempty"`
-	// End is the finish reason on the last event of a whole answer, and Total
-	// the number of tokens that the answer has.
+	// End is the finish reason on the last event of a complete answer, and Total the number of
+	// tokens in the answer.
 	End   string     `json:"end,omitempty"`
 	Total pkid.Index `json:"total,omitempty"`
 	// Lost names a stage of the route that the engines lost.
 	Lost pkid.TargetID `json:"lost,omitempty"`
 }
 
-// Load is what an engine says of itself, late by its own lag.
+// Load is an engine's report on its state and load.
 type Load struct {
 	Target   pkid.TargetID    `json:"target"`
 	Model    pkid.ModelID     `json:"model"`
@@ -62,24 +63,24 @@
 	Active   int              `json:"active"`
 	Queued   int              `json:"queued"`
 	MaxBatch int              `json:"max_batch"`
-	// StepUS is the time of the last decoding step in microseconds, PerSeqUS
-	// what one more sequence adds to it.
+	// StepUS is the duration of the last decoding step in microseconds, PerSeqUS what one more
+	// sequence adds to it.
 	StepUS   int64 `json:"step_us"`
 	PerSeqUS int64 `json:"per_seq_us"`
-	// PrefillUS is the time of one prompt token in microseconds.
+	// PrefillUS is the prefill time per prompt token in microseconds.
 	PrefillUS int64 `json:"prefill_us"`
 	Leaving   bool  `json:"leaving,omitempty"`
-	// Loading says that an order is being carried out.
+	// Loading is set while the engine carries out an order.
 	Loading bool `json:"loading,omitempty"`
-	// Fence is the highest fencing number the engine has seen.
+	// Fence is the highest fencing token that the engine has seen.
 	Fence pkid.Fence `json:"fence,omitempty"`
 	// Boot changes when the engine restarts.
 	Boot string `json:"boot,omitempty"`
 }
 
-// Order states what an engine should hold in the end, not a step towards it.
-// An engine that ignores fencing numbers may see an old owner's order after a
-// new one; both state an end, so the new owner only has to state it again.
+// Order is the desired state of an engine: the model version, adapters, role and layers to load. An
+// engine that does not enforce fencing tokens may apply an order of a former owner after one of its
+// successor; since an order is declarative, the successor corrects that by sending it again.
 type Order struct {
 	Fence    pkid.Fence       `json:"fence"`
 	Model    pkid.ModelID     `json:"model"`
@@ -90,7 +91,7 @@
 	End      pkid.Layer       `json:"end"`
 }
 
-// Met says whether an engine that reports l holds what o wants.
+// Met returns whether an engine that reports l has reached the state in o.
 func (o Order) Met(l Load) bool {
 	return l.Model == o.Model && l.Version == o.Version && l.Role == o.Role &&
 		l.First == o.First && l.End == o.End && sameAdapters(l.Adapters, o.Adapters)
@@ -126,8 +127,9 @@
 	Open(ctx context.Context, addr string, o Open) (Stream, error)
 	// Cancel stops an attempt of a stream, so that it frees its batch slot.
 	Cancel(ctx context.Context, addr string, stream pkid.RequestID, attempt pkid.Attempt) error
-	// Load returns the engine's report on itself.
+	// Load returns the engine's report on its state and load.
 	Load(ctx context.Context, addr string) (Load, error)
-	// Order tells the engine what to hold; ErrFenced refuses an old owner.
+	// Order sends the engine the state it should reach; the error is ErrFenced if a later owner has
+	// sent an order.
 	Order(ctx context.Context, addr string, o Order) error
 }
--- a/pkengine/parse.go
+++ b/pkengine/parse.go
@@ -11,9 +11,9 @@
 	"peridotknot.example/pkid"
 )
 
-var errNegative = errors.New("event has a negative index")
+var errNegative = errors.New("event has a negative index or total")
 
-// ParseEvent reads one line of a stream.
+// ParseEvent parses one line of a stream.
 func ParseEvent(line []byte) (Event, error) {
 	if ev, ok := parseToken(line); ok {
 		return ev, nil
@@ -34,15 +34,14 @@
 	tokenTail = []byte(`"}`)
 )
 
-// parseToken reads the usual line, a token in the field order of Event and
-// without escapes, in a small part of the time that the decoder takes. It
-// says false to every other line, which the decoder then reads.
+// parseToken is the fast path for the most frequent line, a token with its fields in the order of
+// Event and without escapes. It returns false for all other lines, which encoding/json decodes.
 func parseToken(line []byte) (Event, bool) {
 	rest, found := bytes.CutPrefix(line, tokenHead)
 	if !found {
 		return Event{}, false
 	}
-	index, n := number(rest)
+	index, n := parseIndex(rest)
 	if n == 0 {
 		return Event{}, false
 	}
@@ -51,15 +50,15 @@
 		return Event{}, false
 	}
 	text, found := bytes.CutSuffix(bytes.TrimRight(rest, "\r\n"), tokenTail)
-	if !found || !plain(text) {
+	if !found || !isLiteral(text) {
 		return Event{}, false
 	}
 	return Event{Index: index, Text: string(text)}, true
 }
 
-// number reads the digits that b begins with and returns how many there are;
-// none if it is no number as JSON writes it, or too large for an index.
-func number(b []byte) (pkid.Index, int) {
+// parseIndex parses the digits at the start of b and returns their count, which is 0 if they are
+// not a valid JSON number or the value exceeds math.MaxInt32.
+func parseIndex(b []byte) (pkid.Index, int) {
 	value, n := 0, 0
 	for n < len(b) && b[n] >= '0' && b[n] <= '9' {
 		value = 10*value + int(b[n]-'0')
@@ -74,8 +73,9 @@
 	return pkid.Index(value), n
 }
 
-// plain says whether a JSON string holds just the bytes that stand in it.
-func plain(text []byte) bool {
+// isLiteral returns whether the content of a JSON string needs no decoding: it has no escapes and
+// is valid UTF-8.
+func isLiteral(text []byte) bool {
 	ascii := true
 	for _, c := range text {
 		if c < ' ' || c == '"' || c == '\\' {
--- a/pkengine/parse_test.go
+++ b/pkengine/parse_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// The quick reading of a token must never differ from the decoder's: a caller
-// would read another text than the engine wrote, and nothing would fail.
+// Guards against a difference between the fast path and encoding/json, which would silently alter
+// the text that the caller receives.
 func FuzzParseEvent(f *testing.F) {
 	for _, line := range []string{
 		`{"i":0,"t":"Brücke "}` + "\n", `{"i":12,"t":"a\"b"}`, `{"i":01,"t":"x"}`, `{"i":1,"t":"x"},"beat":true}`,
@@ -18,20 +18,20 @@
 		f.Add([]byte(line))
 	}
 	f.Fuzz(func(t *testing.T, line []byte) {
-		quick, ok := parseToken(line)
+		fast, ok := parseToken(line)
 		if !ok {
 			_, _ = ParseEvent(line)
 			return
 		}
-		var slow Event
-		if err := json.Unmarshal(line, &slow); err != nil {
-			t.Fatalf("%q was taken, the decoder says %v", line, err)
+		var decoded Event
+		if err := json.Unmarshal(line, &decoded); err != nil {
+			t.Fatalf("%q was accepted, the decoder returned %v", line, err)
 		}
-		assert.DeepEqual(t, quick, slow)
+		assert.DeepEqual(t, fast, decoded)
 	})
 }
 
-func TestParseEventRefuses(t *testing.T) {
+func TestParseEventRejectsInvalidLines(t *testing.T) {
 	for _, line := range []string{"", "x", `{"i":-1}`, `{"i":1,"total":-2}`, `{"i":"1"}`, `[1]`} {
 		_, err := ParseEvent([]byte(line))
 		assert.Assert(t, err != nil, line)
--- a/pkengine/reader.go
+++ b/pkengine/reader.go
@@ -10,74 +10,72 @@
 	"peridotknot.example/pkverdict"
 )
 
-const lineLimit = 8 << 10
+const maxLineBytes = 8 << 10
 
-var errSilent = errors.New("the stream went silent")
+var errIdle = errors.New("no event within the idle timeout of the stream")
 
 // reader reads the events of one stream.
 type reader struct {
-	ctx     context.Context
-	cancel  context.CancelCauseFunc
-	body    io.ReadCloser
-	lines   *bufio.Reader
-	guard   *time.Timer
-	silence time.Duration
-	ended   bool
+	ctx         context.Context
+	cancel      context.CancelCauseFunc
+	body        io.ReadCloser
+	lines       *bufio.Reader
+	idleTimer   *time.Timer
+	idleTimeout time.Duration
+	ended       bool
 }
 
-func newReader(ctx context.Context, cancel context.CancelCauseFunc, body io.ReadCloser, guard *time.Timer, silence time.Duration) *reader {
+func newReader(ctx context.Context, cancel context.CancelCauseFunc, body io.ReadCloser, idleTimer *time.Timer, idleTimeout time.Duration) *reader {
 	return &reader{
-		ctx:     ctx,
-		cancel:  cancel,
-		body:    body,
-		lines:   bufio.NewReaderSize(body, lineLimit),
-		guard:   guard,
-		silence: silence,
+		ctx:         ctx,
+		cancel:      cancel,
+		body:        body,
+		lines:       bufio.NewReaderSize(body, maxLineBytes),
+		idleTimer:   idleTimer,
+		idleTimeout: idleTimeout,
 	}
 }
 
-// Next returns the next event. A stream that says nothing for too long fails:
-// a connection that lost its far end looks open for ever, and the engine's
-// beats are what tells it from a slow answer.
+// Next returns the next event. It fails if none arrives within the idle timeout: a connection whose
+// remote end is lost stays open, and only the engine's heartbeats tell it from a slow answer.
 func (r *reader) Next() (Event, error) {
-	r.guard.Reset(r.silence)
+	r.idleTimer.Reset(r.idleTimeout)
 	line, err := r.lines.ReadSlice('\n')
 	if err != nil {
 		if errors.Is(err, io.EOF) {
-			err = errors.New("the stream ended without its end event")
+			err = errors.New("stream closed before its end event")
 		}
-		return Event{}, r.lost(withCause(r.ctx, err))
+		return Event{}, r.lostError(withCause(r.ctx, err))
 	}
 	ev, err := ParseEvent(line)
 	if err != nil {
-		return Event{}, r.lost(err)
+		return Event{}, r.lostError(err)
 	}
 	r.ended = ev.End != ""
 	return ev, nil
 }
 
-func (r *reader) lost(err error) error {
+func (r *reader) lostError(err error) error {
 	return &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: err}
 }
 
 // Close ends the stream and releases its connection.
 func (r *reader) Close() error {
 	if r.ended {
-		go r.finish()
+		go r.drain()
 		return nil
 	}
-	r.guard.Stop()
+	r.idleTimer.Stop()
 	r.cancel(nil)
 	return r.body.Close()
 }
 
-// finish reads what is left of a whole answer: the mark that ends the HTTP
-// body, which comes just behind the end event. A connection whose body was not
-// read to its end cannot be used again, and each request would pay for a new
-// one. The guard still bounds the wait.
-func (r *reader) finish() {
-	_, _ = io.Copy(io.Discard, io.LimitReader(r.lines, lineLimit))
-	r.guard.Stop()
+// drain reads the end of the HTTP body, which follows the end event. A connection whose body was
+// not read to its end cannot be reused, and each request would need a new one. The idle timer
+// limits the wait.
+func (r *reader) drain() {
+	_, _ = io.Copy(io.Discard, io.LimitReader(r.lines, maxLineBytes))
+	r.idleTimer.Stop()
 	r.cancel(nil)
-	_ = r.body.Close() // the answer was whole before
+	_ = r.body.Close() // the answer is already complete
 }
