--- a/pkconn/conn.go
+++ b/pkconn/conn.go
@@ -15,47 +15,46 @@
 type Conn struct {
 	net.Conn
 	written atomic.Int64
-	// busy says that an exchange has it.
+	// busy is set while an exchange uses the connection.
 	busy atomic.Bool
-	// closed is told once when it is closed.
-	closed func()
-	once   sync.Once
+	// onClose is called once when the connection is closed.
+	onClose   func()
+	closeOnce sync.Once
 }
 
-// Close closes the connection.
+// Close closes the connection and removes it from its registry.
 func (c *Conn) Close() error {
 	err := c.Conn.Close()
-	c.once.Do(func() {
-		if c.closed != nil {
-			c.closed()
+	c.closeOnce.Do(func() {
+		if c.onClose != nil {
+			c.onClose()
 		}
 	})
 	return err
 }
 
-// Write writes to the connection; the count goes up before the bytes leave.
+// Write writes to the connection and counts the bytes.
 func (c *Conn) Write(p []byte) (int, error) {
-	// Counted first: a write that fails midway may have sent a part.
+	// Counted first, since a write that fails may have sent a part of p.
 	c.written.Add(int64(len(p)))
 	return c.Conn.Write(p)
 }
 
-// Options bounds how long a connection may be unusable before it is known.
+// Options sets the timeouts and the pool limits of connections.
 type Options struct {
-	// Dial bounds the time to connect.
+	// Dial limits the time to connect.
 	Dial time.Duration
-	// Unacknowledged bounds the time that sent data may stay without an
-	// acknowledgement.
+	// Unacknowledged limits the time that sent data may stay unacknowledged (TCP_USER_TIMEOUT).
 	Unacknowledged time.Duration
-	// Idle bounds the age of an unused connection in a pool.
+	// Idle limits the time that a connection stays unused in the pool.
 	Idle time.Duration
-	// PerHost bounds the idle connections kept for one target.
+	// PerHost limits the idle connections to one address.
 	PerHost int
-	// Registry keeps the connections that are made; nil keeps none.
+	// Registry tracks the open connections; it may be nil.
 	Registry *Registry
 }
 
-// DefaultOptions returns limits for links within one region.
+// DefaultOptions returns options for links within one region.
 func DefaultOptions() Options {
 	return Options{
 		Dial:           300 * time.Millisecond,
@@ -78,18 +77,18 @@
 	}
 }
 
-// control sets TCP_USER_TIMEOUT. A middlebox that forgot a connection drops
-// what is written to it without a reset; without this limit the kernel sends
-// again for many minutes, and the caller waits for an answer that cannot come.
+// control sets TCP_USER_TIMEOUT. A middlebox that lost the state of a connection drops its packets
+// without a reset; without this limit the kernel retransmits for many minutes while the caller
+// waits for a response that cannot arrive.
 func (o Options) control(_, _ string, raw syscall.RawConn) error {
-	var fault error
+	var sockErr error
 	err := raw.Control(func(fd uintptr) {
-		fault = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(o.Unacknowledged.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(o.Unacknowledged.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return fault
+	return sockErr
 }
 
 // DialContext connects to addr and returns a Conn.
--- a/pkconn/doc.go
+++ b/pkconn/doc.go
@@ -1,7 +1,7 @@
-// Package pkconn opens connections whose use can be accounted for.
+// Package pkconn provides connections and HTTP transports that track whether a request was written.
 //
-// A verdict rests on whether any byte of a request may have left this VM. The
-// HTTP client does not say, so connections from this package count what was
-// written, and a Tracker compares the count before and after an exchange. The
-// transports made here never repeat a request by themselves.
+// A verdict depends on whether any byte of a request may have left this VM, which net/http does not
+// report. Connections of this package count the bytes written, and a Tracker compares the count
+// before and after an exchange. Request bodies can be wrapped so that the transport does not retry
+// a request by itself.
 package pkconn
--- a/pkconn/registry.go
+++ b/pkconn/registry.go
@@ -5,14 +5,14 @@
 	"sync"
 )
 
-// Registry knows the open connections by the address that they lead to; the zero value is
-// empty, and nil keeps nothing.
+// Registry tracks open connections by their remote address. The zero value is empty; a nil
+// Registry tracks nothing.
 type Registry struct {
 	mu    sync.Mutex
 	conns map[string]map[*Conn]bool
 }
 
-// add keeps a connection until it is closed.
+// add tracks a connection until it is closed.
 func (g *Registry) add(addr string, c *Conn) {
 	if g == nil {
 		return
@@ -26,7 +26,7 @@
 		g.conns[addr] = map[*Conn]bool{}
 	}
 	g.conns[addr][c] = true
-	c.closed = func() { g.remove(addr, c) }
+	c.onClose = func() { g.remove(addr, c) }
 }
 
 func (g *Registry) remove(addr string, c *Conn) {
@@ -38,15 +38,15 @@
 	}
 }
 
-// CloseIdle closes the connections to an address that serve no exchange at present. They may
-// lead to a process that is gone: where its VM fell silent, nothing ends them, and the next
-// request that is written to one may have run or not as far as its sender can tell.
+// CloseIdle closes the connections to addr that no exchange uses. They may belong to a former
+// process: if its VM became unreachable, nothing closes them, and for a request written to one of
+// them the sender cannot tell whether it ran.
 func (g *Registry) CloseIdle(addr string) {
 	if g == nil {
 		return
 	}
 	for _, c := range g.idle(addr) {
-		_ = c.Close() // nothing is on its way over it
+		_ = c.Close() // no exchange uses it
 	}
 }
 
--- a/pkconn/replay_test.go
+++ b/pkconn/replay_test.go
@@ -16,9 +16,9 @@
 	"peridotknot.example/pkverdict"
 )
 
-// closer answers the first request of a connection and closes it in place of
-// an answer to the second, after it was read.
-func closer(t *testing.T) (addr string, received *atomic.Int64) {
+// startClosingServer starts a server that responds to the first request of a connection, and reads
+// the second but closes the connection without a response. It counts the requests received.
+func startClosingServer(t *testing.T) (addr string, received *atomic.Int64) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -29,13 +29,13 @@
 			if err != nil {
 				return
 			}
-			go serveOnce(c, received)
+			go serveConn(c, received)
 		}
 	}()
 	return l.Addr().String(), received
 }
 
-func serveOnce(c net.Conn, received *atomic.Int64) {
+func serveConn(c net.Conn, received *atomic.Int64) {
 	defer func() { _ = c.Close() }()
 	in := bufio.NewReader(c)
 	for i := range 2 {
@@ -51,11 +51,9 @@
 	}
 }
 
-// A ballot lookup is a GET that must not run twice. net/http repeats a GET by
-// itself when a reused connection dies before the answer, and the target has
-// run the first one already. Once stops that; the control case shows that
-// without it the target really does get the request twice.
-func TestClientDoesNotRepeat(t *testing.T) {
+// Guards against the automatic retry of net/http when a reused connection closes before the
+// response. The control cases show that it retries requests with a plain body.
+func TestTransportDoesNotRetry(t *testing.T) {
 	cases := []struct {
 		name, method, key string
 		body              io.Reader
@@ -67,12 +65,12 @@
 		{"POST with idempotency key", http.MethodPost, "k", strings.NewReader("b"), true, 2},
 		{"DELETE", http.MethodDelete, "", nil, true, 2},
 		{"OPTIONS", http.MethodOptions, "", nil, true, 2},
-		{"control: plain GET is repeated", http.MethodGet, "", nil, false, 3},
-		{"control: plain POST with a key is repeated", http.MethodPost, "k", nil, false, 3},
+		{"control: plain GET is retried", http.MethodGet, "", nil, false, 3},
+		{"control: plain POST with a key is retried", http.MethodPost, "k", nil, false, 3},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			addr, received := closer(t)
+			addr, received := startClosingServer(t)
 			transport := DefaultOptions().Transport()
 			defer transport.CloseIdleConnections()
 			client := &http.Client{Transport: transport}
@@ -81,12 +79,12 @@
 			_, _ = io.Copy(io.Discard, resp.Body)
 			_ = resp.Body.Close()
 
-			var track Tracker
+			var tracker Tracker
 			body := c.body
 			if c.once {
 				body = Once(c.body)
 			}
-			req, err := http.NewRequestWithContext(track.Trace(context.Background()), c.method, "http://"+addr, body)
+			req, err := http.NewRequestWithContext(tracker.Trace(context.Background()), c.method, "http://"+addr, body)
 			assert.NilError(t, err)
 			if c.key != "" {
 				req.Header.Set("Idempotency-Key", c.key)
@@ -98,7 +96,7 @@
 			assert.Equal(t, received.Load(), c.want)
 			if c.once {
 				assert.Assert(t, err != nil)
-				assert.Equal(t, pkverdict.Decide(track.Progress()), pkverdict.MayHaveRun)
+				assert.Equal(t, pkverdict.Decide(tracker.Progress()), pkverdict.MayHaveRun)
 			}
 		})
 	}
@@ -109,13 +107,13 @@
 	assert.NilError(t, err)
 	addr := l.Addr().String()
 	assert.NilError(t, l.Close())
-	var track Tracker
-	req, err := http.NewRequestWithContext(track.Trace(context.Background()), http.MethodGet, "http://"+addr, Once(nil))
+	var tracker Tracker
+	req, err := http.NewRequestWithContext(tracker.Trace(context.Background()), http.MethodGet, "http://"+addr, Once(nil))
 	assert.NilError(t, err)
 	resp, err := (&http.Client{Transport: DefaultOptions().Transport()}).Do(req)
 	if err == nil {
 		_ = resp.Body.Close()
 	}
 	assert.Assert(t, err != nil)
-	assert.Equal(t, pkverdict.Decide(track.Progress()), pkverdict.NotRun)
+	assert.Equal(t, pkverdict.Decide(tracker.Progress()), pkverdict.NotRun)
 }
--- a/pkconn/transport.go
+++ b/pkconn/transport.go
@@ -11,16 +11,15 @@
 	"peridotknot.example/pkverdict"
 )
 
-// Transport returns an HTTP/1.1 transport over counted connections.
+// Transport returns an HTTP/1.1 transport over connections that count the bytes written.
 func (o Options) Transport() *http.Transport {
 	return &http.Transport{
 		DialContext:         o.DialContext,
 		MaxIdleConnsPerHost: o.PerHost,
 		IdleConnTimeout:     o.Idle,
 		DisableCompression:  true,
-		// HTTP/2 puts many requests on one connection, so a count of written
-		// bytes would no longer belong to one request. One connection that
-		// goes silent would also take all its requests with it.
+		// HTTP/2 multiplexes requests on one connection, so the count of written bytes would no
+		// longer belong to one request, and one lost connection would fail many requests.
 		ForceAttemptHTTP2: false,
 		TLSNextProto:      map[string]func(string, *tls.Conn) http.RoundTripper{},
 		Protocols:         http1(),
@@ -33,13 +32,12 @@
 	return p
 }
 
-// Once wraps a body so that the client cannot send its request a second time.
+// Once wraps a body, which may be nil, so that net/http cannot retry its request.
 //
-// net/http repeats a GET, HEAD or OPTIONS, and whatever has an Idempotency-Key
-// header, when a reused connection dies before the answer; the target would run
-// a call twice that must run once, and no code of ours would have asked for it.
-// It does so only if it can have the body again: a body that is set, is not
-// http.NoBody and has no GetBody stops it.
+// When a reused connection closes before the response, net/http retries a GET, HEAD or OPTIONS and
+// every request with an Idempotency-Key header, and the target would run the request twice. It does
+// so only if it can replay the body, which is not the case for a body that is neither nil nor
+// http.NoBody and has no GetBody.
 func Once(body io.Reader) io.ReadCloser {
 	if body == nil {
 		return &onceBody{Reader: http.NoBody}
@@ -57,14 +55,16 @@
 	return nil
 }
 
-// Tracker watches one exchange for its verdict; the zero value is ready.
+// Tracker observes one exchange to determine its verdict; the zero value is ready to use.
 type Tracker struct {
-	conn  atomic.Pointer[Conn]
-	start atomic.Int64
-	blind atomic.Bool
+	conn atomic.Pointer[Conn]
+	// startWritten is the byte count of the connection at the start of the exchange.
+	startWritten atomic.Int64
+	// untracked is set if the connection does not count its bytes.
+	untracked atomic.Bool
 }
 
-// Trace returns ctx with the tracker in it.
+// Trace returns ctx with client trace hooks that feed the tracker.
 func (t *Tracker) Trace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: t.gotConn, PutIdleConn: t.putIdle})
 }
@@ -76,29 +76,30 @@
 	}
 	c, ok := raw.(*Conn)
 	if !ok {
-		t.blind.Store(true)
+		t.untracked.Store(true)
 		return
 	}
 	c.busy.Store(true)
-	t.start.Store(c.written.Load())
+	t.startWritten.Store(c.written.Load())
 	t.conn.Store(c)
 }
 
-// putIdle notes that the exchange has given its connection back to the pool.
+// putIdle records that the connection was returned to the pool.
 func (t *Tracker) putIdle(err error) {
 	if c := t.conn.Load(); c != nil && err == nil {
 		c.busy.Store(false)
 	}
 }
 
-// Progress returns what the exchange had done so far.
+// Progress returns the progress of the exchange so far. If its connection does not count bytes, the
+// request counts as written.
 func (t *Tracker) Progress() pkverdict.Progress {
 	c := t.conn.Load()
 	if c == nil {
-		return pkverdict.Progress{Connected: t.blind.Load(), Written: t.blind.Load()}
+		return pkverdict.Progress{Connected: t.untracked.Load(), Written: t.untracked.Load()}
 	}
-	return pkverdict.Progress{Connected: true, Written: c.written.Load() > t.start.Load()}
+	return pkverdict.Progress{Connected: true, Written: c.written.Load() > t.startWritten.Load()}
 }
 
-// Conn returns the connection of the exchange, or nil before it has one.
+// Conn returns the connection of the exchange, or nil if it has none yet.
 func (t *Tracker) Conn() *Conn { return t.conn.Load() }
