--- a/pkforward/exchange.go
+++ b/pkforward/exchange.go
@@ -15,10 +15,10 @@
 	Left time.Duration
 	// Key is the API key; empty if there is none.
 	Key string
-	// PromptTokens and MostTokens are the prompt length and the output limit of a model request;
-	// zero if not given.
+	// PromptTokens is the prompt length of a model request; zero if not given.
 	PromptTokens pkid.Tokens
-	MostTokens   pkid.Tokens
+	// MostTokens is the output limit of a model request; zero if not given.
+	MostTokens pkid.Tokens
 	// LikelyTokens is the caller's rough estimate of the output length; zero if not given.
 	LikelyTokens pkid.Tokens
 }
