--- a/pkstandin/capacity.go
+++ b/pkstandin/capacity.go
@@ -10,46 +10,46 @@
 	"peridotknot.example/pkid"
 )
 
-// Capacity returns the tokens a second that the engines of a model can make:
-// the bound that a replay's goodput is held against.
+// Capacity returns the maximum token throughput of the engines of a model, in tokens per second.
+// Replays report goodput relative to this bound.
 //
-// A sequence holds a slot in each engine of its chain all the time and makes a
-// token in the sum of their steps. The bound is therefore the best mix of
-// chains: the most of sequences over step time, with no range of layers holding
-// more sequences than it has slots. That is a small linear program.
-func (w *World) Capacity(model pkid.ModelID) (float64, error) {
-	ranges := map[pkid.Range]slots{}
-	for _, g := range w.settings.Engines {
+// A sequence occupies one batch slot in each engine of its chain and produces a token in the sum of
+// their step times. The bound maximizes the throughput over all mixes of chains, with each layer
+// range limited to its batch slots. This is a small linear program.
+func (env *World) Capacity(model pkid.ModelID) (float64, error) {
+	ranges := map[pkid.Range]rangeCapacity{}
+	for _, g := range env.settings.Engines {
 		if g.Model != model {
 			continue
 		}
 		r := pkid.Range{First: g.First, End: g.End}
 		s := ranges[r]
-		speed := w.settings.Kinds[g.Kind]
+		speed := env.settings.Kinds[g.Kind]
 		full := time.Duration(r.Len()) * (speed.Base + time.Duration(speed.Batch)*speed.PerSeq)
 		s.add(float64(g.Count*speed.Batch), full)
 		ranges[r] = s
 	}
-	paths := chains(ranges, 0, w.layers(model))
+	paths := chains(ranges, 0, env.layers(model))
 	if len(paths) == 0 {
 		return 0, fmt.Errorf("no engines cover model %s", model)
 	}
-	return best(ranges, paths)
+	return maxThroughput(ranges, paths)
 }
 
-// slots is how many sequences a range can hold, and its mean full step.
-type slots struct {
-	n    float64
-	step time.Duration
+// rangeCapacity is the number of concurrent sequences of a layer range and its mean step time at full
+// batch.
+type rangeCapacity struct {
+	sequences float64
+	step      time.Duration
 }
 
-func (s *slots) add(n float64, step time.Duration) {
-	total := s.n + n
-	s.step = time.Duration((float64(s.step)*s.n + float64(step)*n) / total)
-	s.n = total
+func (s *rangeCapacity) add(n float64, step time.Duration) {
+	total := s.sequences + n
+	s.step = time.Duration((float64(s.step)*s.sequences + float64(step)*n) / total)
+	s.sequences = total
 }
 
-func chains(ranges map[pkid.Range]slots, from, to pkid.Layer) [][]pkid.Range {
+func chains(ranges map[pkid.Range]rangeCapacity, from, to pkid.Layer) [][]pkid.Range {
 	if from == to {
 		return [][]pkid.Range{nil}
 	}
@@ -65,14 +65,14 @@
 	return out
 }
 
-// best solves the linear program in its standard form: one column a chain and
-// one slack column a range.
-func best(ranges map[pkid.Range]slots, paths [][]pkid.Range) (float64, error) {
+// maxThroughput solves the linear program in standard form, with one column per chain and one slack
+// column per range.
+func maxThroughput(ranges map[pkid.Range]rangeCapacity, paths [][]pkid.Range) (float64, error) {
 	rows := map[pkid.Range]int{}
 	limits := make([]float64, 0, len(ranges))
 	for r, s := range ranges {
 		rows[r] = len(limits)
-		limits = append(limits, s.n)
+		limits = append(limits, s.sequences)
 	}
 	cost := make([]float64, len(paths)+len(rows))
 	a := mat.NewDense(len(rows), len(cost), nil)
@@ -89,7 +89,7 @@
 	}
 	value, _, err := lp.Simplex(cost, a, limits, 1e-9, nil)
 	if err != nil {
-		return 0, fmt.Errorf("work out the bound: %w", err)
+		return 0, fmt.Errorf("solve linear program of capacity: %w", err)
 	}
 	return -value, nil
 }
--- a/pkstandin/contract_test.go
+++ b/pkstandin/contract_test.go
@@ -15,8 +15,8 @@
 	"peridotknot.example/pktrace"
 )
 
-func startWorld(t *testing.T) *World {
-	w, err := Start(Settings{
+func startEnvironment(t *testing.T) *World {
+	env, err := Start(Settings{
 		Store: anyPort, Platform: anyPort, Admin: anyPort,
 		Kinds: map[pkid.Kind]Speed{"a": {Base: time.Microsecond, Batch: 8}},
 		Engines: []EngineGroup{{
@@ -24,25 +24,25 @@
 		}},
 	})
 	assert.NilError(t, err)
-	t.Cleanup(w.Close)
-	return w
+	t.Cleanup(env.Close)
+	return env
 }
 
-func TestClientAndStandinKeepTheEngineContract(t *testing.T) {
+func TestEngineContract(t *testing.T) {
 	pkcontract.Engine(t, func(t *testing.T) pkcontract.EngineUnderTest {
-		w := startWorld(t)
+		env := startEnvironment(t)
 		c := pkengine.NewClient(pkconn.DefaultOptions(), time.Minute)
 		t.Cleanup(func() { assert.NilError(t, c.Close()) })
-		e := w.engines[w.order[0]]
+		e := env.engines[env.listOrder[0]]
 		return pkcontract.EngineUnderTest{Engine: c, Addr: e.info.Addr, Target: e.info.ID}
 	})
 }
 
-// The list is read twice a second. It must come whole when it changed, not at
-// all when it did not, and whole again on demand.
-func TestVMListTravelsWhenItChanged(t *testing.T) {
-	w := startWorld(t)
-	c := pkplatform.New(w.PlatformAddr(), pkconn.DefaultOptions())
+// The VM list is polled. The body must be sent when the list has changed or the client has dropped
+// its tag, and must not be sent otherwise.
+func TestVMListConditionalRead(t *testing.T) {
+	env := startEnvironment(t)
+	c := pkplatform.New(env.PlatformAddr(), pkconn.DefaultOptions())
 	defer func() { assert.NilError(t, c.Close()) }()
 	list, err := c.VMs(t.Context())
 	assert.NilError(t, err)
@@ -52,22 +52,22 @@
 	c.Forget()
 	_, err = c.VMs(t.Context())
 	assert.NilError(t, err)
-	assert.NilError(t, w.Fault(pktrace.Fault{Name: pktrace.FaultLeave, Target: string(list[0].ID)}))
+	assert.NilError(t, env.Fault(pktrace.Fault{Name: pktrace.FaultLeave, Target: string(list[0].ID)}))
 	list, err = c.VMs(t.Context())
 	assert.NilError(t, err)
 	assert.Assert(t, list[0].Leaving)
 }
 
-// The stand-in must notice what it is there to notice, or every replay holds.
-func TestEngineNoticesBrokenOrder(t *testing.T) {
-	w := startWorld(t)
-	e := w.engines[w.order[0]]
-	key := runKey{stream: "s", attempt: 1}
-	_, alive := e.pass(key, 0, 0)
+// If the stand-in missed repeated or skipped tokens and layers, replays would pass regardless.
+func TestEngineDetectsOrderViolations(t *testing.T) {
+	env := startEnvironment(t)
+	e := env.engines[env.listOrder[0]]
+	key := attemptKey{stream: "s", attempt: 1}
+	_, alive := e.processToken(key, 0, 0)
 	assert.Assert(t, alive)
-	assert.Equal(t, w.Ledger().Broken, 0)
-	e.pass(key, 0, 0) // a token twice
-	e.pass(key, 5, 0) // tokens skipped
-	e.pass(key, 6, 2) // a layer skipped
-	assert.Equal(t, w.Ledger().Broken, 3)
+	assert.Equal(t, env.Ledger().Broken, 0)
+	e.processToken(key, 0, 0) // token repeated
+	e.processToken(key, 5, 0) // tokens skipped
+	e.processToken(key, 6, 2) // layers skipped
+	assert.Equal(t, env.Ledger().Broken, 3)
 }
--- a/pkstandin/doc.go
+++ b/pkstandin/doc.go
@@ -1,11 +1,10 @@
-// Package pkstandin holds small stand-ins for what surrounds the router: the
-// key-value service, the VM list, model engines and plain services.
+// Package pkstandin provides stand-ins for the systems that the router depends on: the key-value
+// service, the VM list, model engines and plain services.
 //
-// They speak the published protocols, so the router cannot tell them from the
-// real thing, and they check what the real things would suffer from: an engine
-// notes every layer that is run twice, skipped or out of order for a token, and
-// a service notes every call that it ran. Faults are set from outside while
-// they run. They are a means for tests and for trying the router out, and no
-// model of a cluster: engines pass activations by function calls, and a token's
-// time is one sleep.
+// The stand-ins speak the published protocols and record protocol violations. An engine records each
+// layer that is repeated, skipped or out of order for a token, and a service records each call that
+// it runs. Faults are injected at run time, by method call or through the admin interface.
+//
+// The stand-ins are meant for tests and local trials and do not simulate a cluster: engines pass
+// activations by function calls, and the time of a token is a single sleep.
 package pkstandin
--- a/pkstandin/engine.go
+++ b/pkstandin/engine.go
@@ -15,47 +15,47 @@
 	"peridotknot.example/pktrace"
 )
 
-// Speed is how fast a kind of accelerator is.
+// Speed describes the speed and the batch size of a kind of accelerator.
 type Speed struct {
-	// Base is the time of a step, PerSeq what each sequence of the batch adds,
-	// both for one layer; Prefill is the time of one prompt token and layer.
+	// Base is the time of a decode step and PerSeq the additional time for each sequence of the
+	// batch, both per layer. Prefill is the time per prompt token and layer.
 	Base    time.Duration `yaml:"base"`
 	PerSeq  time.Duration `yaml:"per_seq"`
 	Prefill time.Duration `yaml:"prefill"`
-	// Batch is how many sequences fit.
+	// Batch is the maximum number of sequences in a batch.
 	Batch int `yaml:"batch"`
 }
 
-// Engine is one stand-in for a model engine that holds a range of layers.
+// Engine is a stand-in for a model engine that serves a range of layers.
 type Engine struct {
 	info  pktarget.Info
 	speed Speed
-	world *World
+	env   *World
 	srv   *server
 
-	mu       sync.Mutex
-	holds    pkengine.Order
-	wanted   pkengine.Order
-	fence    pkid.Fence
-	enforces bool
-	boot     int
-	runs     map[runKey]pkid.Index
-	stops    map[runKey]chan struct{}
-	loading  bool
+	mu        sync.Mutex
+	current   pkengine.Order
+	pending   pkengine.Order
+	fence     pkid.Fence
+	enforces  bool
+	boot      int
+	nextIndex map[attemptKey]pkid.Index
+	cancels   map[attemptKey]chan struct{}
+	loading   bool
 
-	active  atomic.Int64
-	dead    atomic.Bool
-	leaving atomic.Bool
-	slow    atomic.Int64
+	active     atomic.Int64
+	dead       atomic.Bool
+	leaving    atomic.Bool
+	extraDelay atomic.Int64
 }
 
-// runKey names one attempt of a stream.
-type runKey struct {
+// attemptKey identifies an attempt of a stream.
+type attemptKey struct {
 	stream  pkid.RequestID
 	attempt pkid.Attempt
 }
 
-// ServeHTTP answers one call of the engine contract.
+// ServeHTTP handles the requests of the engine contract.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.Method == http.MethodPost && r.URL.Path == pkengine.PathStreams:
@@ -63,7 +63,7 @@
 	case r.Method == http.MethodDelete:
 		e.cancel(r)
 	case r.URL.Path == pkengine.PathLoad:
-		_ = json.NewEncoder(w).Encode(e.load()) // a caller that is gone is no fault
+		_ = json.NewEncoder(w).Encode(e.load()) // the client may have disconnected
 	case r.URL.Path == pkengine.PathOrders:
 		e.order(w, r)
 	default:
@@ -74,22 +74,22 @@
 func (e *Engine) layers() pkid.Range {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return pkid.Range{First: e.holds.First, End: e.holds.End}
+	return pkid.Range{First: e.current.First, End: e.current.End}
 }
 
 func (e *Engine) load() pkengine.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	n := time.Duration(e.holds.End - e.holds.First)
+	n := time.Duration(e.current.End - e.current.First)
 	active := int(e.active.Load())
 	return pkengine.Load{
 		Target:    e.info.ID,
-		Model:     e.holds.Model,
-		Version:   e.holds.Version,
-		Adapters:  e.holds.Adapters,
-		Role:      e.holds.Role,
-		First:     e.holds.First,
-		End:       e.holds.End,
+		Model:     e.current.Model,
+		Version:   e.current.Version,
+		Adapters:  e.current.Adapters,
+		Role:      e.current.Role,
+		First:     e.current.First,
+		End:       e.current.End,
 		Active:    min(active, e.speed.Batch),
 		Queued:    max(active-e.speed.Batch, 0),
 		MaxBatch:  e.speed.Batch,
@@ -103,8 +103,8 @@
 	}
 }
 
-// step is the time of one token through this engine. Beyond a full batch the
-// sequences share the steps.
+// step returns the time of one token in this engine. With more sequences than the batch holds, the
+// sequences take turns and the time grows in proportion.
 func (e *Engine) step() time.Duration {
 	active := int(e.active.Load())
 	n := time.Duration(e.layers().Len())
@@ -112,7 +112,7 @@
 	if active > e.speed.Batch {
 		t = t * time.Duration(active) / time.Duration(e.speed.Batch)
 	}
-	return t + time.Duration(e.slow.Load())
+	return t + time.Duration(e.extraDelay.Load())
 }
 
 func (e *Engine) open(w http.ResponseWriter, r *http.Request) {
@@ -121,7 +121,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	stages, err := e.world.stages(o)
+	stages, err := e.env.stages(o)
 	if err != nil {
 		w.Header().Set(pkengine.HeaderNotStarted, "true")
 		http.Error(w, err.Error(), http.StatusConflict)
@@ -132,36 +132,36 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	key := runKey{stream: o.Stream, attempt: o.Attempt}
-	stop := e.begin(key)
-	defer e.end(key)
+	key := attemptKey{stream: o.Stream, attempt: o.Attempt}
+	stop := e.register(key)
+	defer e.unregister(key)
 	for _, s := range stages {
 		s.active.Add(1)
 		defer s.active.Add(-1)
 	}
-	// An order may have come since the route was checked; from here on the
-	// engines wait for this stream.
-	if _, err := e.world.stages(o); err != nil {
+	// An order may have arrived since the route was checked. Now that the stream counts as active, the
+	// engines drain it before they load.
+	if _, err := e.env.stages(o); err != nil {
 		w.Header().Set(pkengine.HeaderNotStarted, "true")
 		http.Error(w, err.Error(), http.StatusConflict)
 		return
 	}
-	g := &generation{world: e.world, open: o, stages: stages, w: w, control: control, stop: stop, gone: r.Context().Done()}
+	g := &generation{env: e.env, open: o, stages: stages, w: w, control: control, stop: stop, disconnected: r.Context().Done()}
 	g.run()
 }
 
-func (e *Engine) begin(key runKey) chan struct{} {
+func (e *Engine) register(key attemptKey) chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	stop := make(chan struct{})
-	e.stops[key] = stop
+	e.cancels[key] = stop
 	return stop
 }
 
-func (e *Engine) end(key runKey) {
+func (e *Engine) unregister(key attemptKey) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.stops, key)
+	delete(e.cancels, key)
 }
 
 func (e *Engine) cancel(r *http.Request) {
@@ -169,40 +169,41 @@
 	if err != nil {
 		return
 	}
-	key := runKey{stream: pkid.RequestID(r.URL.Path[len(pkengine.PathStreams)+1:]), attempt: pkid.Attempt(attempt)}
+	key := attemptKey{stream: pkid.RequestID(r.URL.Path[len(pkengine.PathStreams)+1:]), attempt: pkid.Attempt(attempt)}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if stop, found := e.stops[key]; found {
+	if stop, found := e.cancels[key]; found {
 		close(stop)
-		delete(e.stops, key)
+		delete(e.cancels, key)
 	}
 }
 
-// pass runs the engine's layers for a token and checks that they run once and
-// in order: from must be where the engine's range begins.
-func (e *Engine) pass(key runKey, index pkid.Index, from pkid.Layer) (pkid.Layer, bool) {
+// processToken runs the engine's layers for a token. It records a violation if from is not the first
+// layer of the engine or index is not the next token of the attempt. It returns the end of the range
+// and whether the engine is alive.
+func (e *Engine) processToken(key attemptKey, index pkid.Index, from pkid.Layer) (pkid.Layer, bool) {
 	if e.dead.Load() {
 		return 0, false
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if from != e.holds.First {
-		e.world.violation("%s: token %d of %s came with layer %d, this engine begins at %d", e.info.ID, index, key.stream, from, e.holds.First)
+	if from != e.current.First {
+		e.env.recordViolation("%s: token %d of %s came with layer %d, this engine begins at %d", e.info.ID, index, key.stream, from, e.current.First)
 	}
-	if next, found := e.runs[key]; found && index != next {
-		e.world.violation("%s: token %d of %s came, %d was next", e.info.ID, index, key.stream, next)
+	if next, found := e.nextIndex[key]; found && index != next {
+		e.env.recordViolation("%s: token %d of %s came, %d was next", e.info.ID, index, key.stream, next)
 	}
-	e.runs[key] = index + 1
-	return e.holds.End, true
+	e.nextIndex[key] = index + 1
+	return e.current.End, true
 }
 
-func (e *Engine) forget(key runKey) {
+func (e *Engine) forget(key attemptKey) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.runs, key)
+	delete(e.nextIndex, key)
 }
 
-// order takes an order; loading takes time, and a newer order replaces it.
+// order accepts an order. An order that arrives during loading replaces the pending one.
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
 	var o pkengine.Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
@@ -216,18 +217,18 @@
 		return
 	}
 	e.fence = max(e.fence, o.Fence)
-	e.world.ordered(e.info.ID, o)
+	e.env.recordOrder(e.info.ID, o)
 	if e.loading {
-		e.wanted = o
+		e.pending = o
 		e.mu.Unlock()
 		return
 	}
-	if o.Met(pkengine.Load{Model: e.holds.Model, Version: e.holds.Version, Adapters: e.holds.Adapters, Role: e.holds.Role, First: e.holds.First, End: e.holds.End}) {
+	if o.Met(pkengine.Load{Model: e.current.Model, Version: e.current.Version, Adapters: e.current.Adapters, Role: e.current.Role, First: e.current.First, End: e.current.End}) {
 		e.mu.Unlock()
 		return
 	}
 	e.loading = true
-	e.wanted = o
+	e.pending = o
 	boot := e.boot
 	e.mu.Unlock()
 	e.drain(boot)
@@ -235,43 +236,43 @@
 
 const drainPoll = 20 * time.Millisecond
 
-// drain waits until what is in progress has ended, and then loads.
+// drain waits until the active streams have ended and then starts loading.
 func (e *Engine) drain(boot int) {
-	e.world.later(drainPoll, func() {
+	e.env.after(drainPoll, func() {
 		if e.active.Load() > 0 {
 			e.drain(boot)
 			return
 		}
 		e.mu.Lock()
-		e.holds = pkengine.Order{}
+		e.current = pkengine.Order{}
 		e.mu.Unlock()
-		e.world.later(e.world.settings.LoadTime, func() { e.loaded(boot) })
+		e.env.after(e.env.settings.LoadTime, func() { e.finishLoad(boot) })
 	})
 }
 
-func (e *Engine) loaded(boot int) {
+func (e *Engine) finishLoad(boot int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.boot == boot {
-		e.holds = e.wanted
+		e.current = e.pending
 		e.loading = false
 	}
 }
 
-// generation is one attempt of a stream as its first engine runs it.
+// generation is an attempt of a stream, run by the first engine of the route.
 type generation struct {
-	world   *World
-	open    pkengine.Open
-	stages  []*Engine
-	w       http.ResponseWriter
-	control *http.ResponseController
-	stop    <-chan struct{}
-	gone    <-chan struct{}
-	line    []byte
+	env          *World
+	open         pkengine.Open
+	stages       []*Engine
+	w            http.ResponseWriter
+	control      *http.ResponseController
+	stop         <-chan struct{}
+	disconnected <-chan struct{}
+	line         []byte
 }
 
 func (g *generation) run() {
-	key := runKey{stream: g.open.Stream, attempt: g.open.Attempt}
+	key := attemptKey{stream: g.open.Stream, attempt: g.open.Attempt}
 	defer func() {
 		for _, s := range g.stages {
 			s.forget(key)
@@ -294,7 +295,7 @@
 		if !g.wait(g.tokenTime()) {
 			return
 		}
-		if lost := g.token(key, i); lost != "" {
+		if lost := g.runToken(key, i); lost != "" {
 			g.send(pkengine.Event{Index: i, Lost: lost})
 			return
 		}
@@ -317,29 +318,31 @@
 	for i, s := range g.stages {
 		t += s.step()
 		if i > 0 && g.stages[i-1].info.DataCenter != s.info.DataCenter {
-			t += g.world.settings.Link
+			t += g.env.settings.Link
 		}
 	}
 	return t
 }
 
-// token takes one token through all stages and returns a stage that was lost.
-func (g *generation) token(key runKey, index pkid.Index) pkid.TargetID {
+// runToken runs a token through all stages. It returns the ID of the first stage that is dead, or ""
+// if all are alive.
+func (g *generation) runToken(key attemptKey, index pkid.Index) pkid.TargetID {
 	var at pkid.Layer
 	for _, s := range g.stages {
-		next, alive := s.pass(key, index, at)
+		next, alive := s.processToken(key, index, at)
 		if !alive {
 			return s.info.ID
 		}
 		at = next
 	}
-	if at != g.world.layers(g.open.Model) {
-		g.world.violation("token %d of %s ended after layer %d", index, key.stream, at)
+	if at != g.env.layers(g.open.Model) {
+		g.env.recordViolation("token %d of %s ended after layer %d", index, key.stream, at)
 	}
 	return ""
 }
 
-// wait waits for d and sends beats; it says false if the stream is over.
+// wait waits for d and sends heartbeats. It returns false if the stream was canceled or the client
+// has disconnected.
 func (g *generation) wait(d time.Duration) bool {
 	for d > 0 {
 		part := min(d, pkengine.BeatEvery)
@@ -349,7 +352,7 @@
 		case <-g.stop:
 			timer.Stop()
 			return false
-		case <-g.gone:
+		case <-g.disconnected:
 			timer.Stop()
 			return false
 		}
@@ -376,21 +379,22 @@
 	return g.control.Flush() == nil
 }
 
-// stages returns the engines of a route, if each holds what the route says.
-func (w *World) stages(o pkengine.Open) ([]*Engine, error) {
+// stages returns the engines of a route. It fails unless each engine has loaded the model, version
+// and layers that the route names.
+func (env *World) stages(o pkengine.Open) ([]*Engine, error) {
 	var out []*Engine
 	for _, hop := range o.Route {
-		e, found := w.engines[hop.Target]
+		e, found := env.engines[hop.Target]
 		if !found {
 			return nil, fmt.Errorf("there is no engine %s", hop.Target)
 		}
 		e.mu.Lock()
-		holds, loading := e.holds, e.loading
+		current, loading := e.current, e.loading
 		e.mu.Unlock()
 		if loading {
 			return nil, fmt.Errorf("engine %s is about to load something else", hop.Target)
 		}
-		if holds.Model != o.Model || holds.Version != o.Version || holds.First != hop.First || holds.End != hop.End {
+		if current.Model != o.Model || current.Version != o.Version || current.First != hop.First || current.End != hop.End {
 			return nil, fmt.Errorf("engine %s does not hold layers %d to %d of %s %s", hop.Target, hop.First, hop.End, o.Model, o.Version)
 		}
 		out = append(out, e)
--- a/pkstandin/kv.go
+++ b/pkstandin/kv.go
@@ -17,24 +17,24 @@
 	mu       sync.Mutex
 	revision int64
 	keys     map[string]pketcd.KeyValue
-	log      []pketcd.WatchEvent
+	events   []pketcd.WatchEvent
 	leases   map[int64]*kvLease
 	nextID   int64
-	// changed is closed and replaced at every change.
+	// changed is closed and replaced on each change.
 	changed chan struct{}
-	// broken is closed and replaced to cut all watches.
-	broken chan struct{}
+	// watchCut is closed and replaced to abort all watches.
+	watchCut chan struct{}
 
-	calls   atomic.Int64
-	writes  atomic.Int64
-	down    atomic.Bool
-	slow    atomic.Int64
-	loseTxn atomic.Int64
+	calls         atomic.Int64
+	writes        atomic.Int64
+	down          atomic.Bool
+	extraDelay    atomic.Int64
+	dropResponses atomic.Int64
 }
 
 type kvLease struct {
-	ttl time.Duration
-	end time.Time
+	ttl     time.Duration
+	expires time.Time
 }
 
 // NewKV returns an empty key-value service.
@@ -44,31 +44,31 @@
 		keys:     map[string]pketcd.KeyValue{},
 		leases:   map[int64]*kvLease{},
 		changed:  make(chan struct{}),
-		broken:   make(chan struct{}),
+		watchCut: make(chan struct{}),
 	}
 }
 
-// Calls returns how many calls were received, a watch counted as one.
+// Calls returns the number of requests received. A watch counts as one.
 func (k *KV) Calls() int64 { return k.calls.Load() }
 
-// SetDown takes the service down or up again; going down cuts all watches.
+// SetDown makes the service unavailable or available again. Going down aborts all watches.
 func (k *KV) SetDown(down bool) {
 	k.down.Store(down)
 	if down {
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		close(k.broken)
-		k.broken = make(chan struct{})
+		close(k.watchCut)
+		k.watchCut = make(chan struct{})
 	}
 }
 
-// SetSlow adds a time to each call.
-func (k *KV) SetSlow(extra time.Duration) { k.slow.Store(int64(extra)) }
+// SetSlow delays each request by extra.
+func (k *KV) SetSlow(extra time.Duration) { k.extraDelay.Store(int64(extra)) }
 
-// LoseAnswers makes the next n writes take effect without an answer.
-func (k *KV) LoseAnswers(n int) { k.loseTxn.Store(int64(n)) }
+// LoseAnswers makes the next n successful transactions take effect without a response.
+func (k *KV) LoseAnswers(n int) { k.dropResponses.Store(int64(n)) }
 
-// Snapshot returns a copy of the keys, for Restore.
+// Snapshot returns a copy of the keys for Restore.
 func (k *KV) Snapshot() map[string]pketcd.KeyValue {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -79,7 +79,8 @@
 	return out
 }
 
-// Restore puts an older copy of the keys back, as a careless restore would.
+// Restore replaces the keys by those of a snapshot, like a restore from a backup. Each restored key
+// gets a new revision.
 func (k *KV) Restore(keys map[string]pketcd.KeyValue) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -88,14 +89,14 @@
 		k.revision++
 		kv.ModRevision = k.revision
 		k.keys[key] = kv
-		k.note(pketcd.WatchEvent{KV: kv})
+		k.appendEvent(pketcd.WatchEvent{KV: kv})
 	}
 }
 
-// ServeHTTP answers one call of the gateway.
+// ServeHTTP handles the requests of the gateway.
 func (k *KV) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	k.calls.Add(1)
-	if !pktimer.Sleep(r.Context(), time.Duration(k.slow.Load())) {
+	if !pktimer.Sleep(r.Context(), time.Duration(k.extraDelay.Load())) {
 		return
 	}
 	if k.down.Load() {
@@ -103,16 +104,16 @@
 	}
 	switch r.URL.Path {
 	case pketcd.PathRange:
-		answer(w, r, k.readRange)
+		serveJSON(w, r, k.readRange)
 	case pketcd.PathTxn:
 		k.writes.Add(1)
-		answer(w, r, k.txn)
+		serveJSON(w, r, k.txn)
 	case pketcd.PathGrant:
-		answer(w, r, k.grant)
+		serveJSON(w, r, k.grant)
 	case pketcd.PathKeepAlive:
-		answer(w, r, k.keepAlive)
+		serveJSON(w, r, k.keepAlive)
 	case pketcd.PathRevoke:
-		answer(w, r, k.revoke)
+		serveJSON(w, r, k.revoke)
 	case pketcd.PathWatch:
 		k.watch(w, r)
 	default:
@@ -120,14 +121,14 @@
 	}
 }
 
-func answer[In, Out any](w http.ResponseWriter, r *http.Request, do func(In) Out) {
+func serveJSON[In, Out any](w http.ResponseWriter, r *http.Request, do func(In) Out) {
 	var in In
 	if err := json.NewDecoder(r.Body).Decode(&in); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// A caller that is gone is no fault of the stand-in.
+	// The client may have disconnected.
 	_ = json.NewEncoder(w).Encode(do(in))
 }
 
@@ -138,17 +139,17 @@
 }
 
 func (k *KV) rangeLocked(in pketcd.RangeRequest) pketcd.RangeResponse {
-	k.expire(time.Now())
+	k.expireLeases(time.Now())
 	out := pketcd.RangeResponse{Header: pketcd.Header{Revision: k.revision}}
 	for _, kv := range k.keys {
-		if within(kv.Key, in.Key, in.RangeEnd) {
+		if inRange(kv.Key, in.Key, in.RangeEnd) {
 			out.Kvs = append(out.Kvs, kv)
 		}
 	}
 	return out
 }
 
-func within(key, from, end []byte) bool {
+func inRange(key, from, end []byte) bool {
 	if len(end) == 0 {
 		return bytes.Equal(key, from)
 	}
@@ -158,7 +159,7 @@
 func (k *KV) txn(in pketcd.TxnRequest) pketcd.TxnResponse {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.expire(time.Now())
+	k.expireLeases(time.Now())
 	ok := true
 	for _, c := range in.Compare {
 		ok = ok && k.keys[string(c.Key)].ModRevision == c.ModRevision
@@ -172,8 +173,8 @@
 		out.Responses = append(out.Responses, k.apply(op))
 	}
 	out.Header.Revision = k.revision
-	if k.loseTxn.Load() > 0 && ok {
-		k.loseTxn.Add(-1)
+	if k.dropResponses.Load() > 0 && ok {
+		k.dropResponses.Add(-1)
 		panic(http.ErrAbortHandler)
 	}
 	return out
@@ -185,7 +186,7 @@
 		k.revision++
 		kv := pketcd.KeyValue{Key: op.Put.Key, Value: op.Put.Value, ModRevision: k.revision, Lease: op.Put.Lease}
 		k.keys[string(kv.Key)] = kv
-		k.note(pketcd.WatchEvent{KV: kv})
+		k.appendEvent(pketcd.WatchEvent{KV: kv})
 	case op.Delete != nil:
 		k.remove(string(op.Delete.Key))
 	case op.Range != nil:
@@ -201,11 +202,11 @@
 	}
 	delete(k.keys, key)
 	k.revision++
-	k.note(pketcd.WatchEvent{Type: pketcd.EventDelete, KV: pketcd.KeyValue{Key: []byte(key), ModRevision: k.revision}})
+	k.appendEvent(pketcd.WatchEvent{Type: pketcd.EventDelete, KV: pketcd.KeyValue{Key: []byte(key), ModRevision: k.revision}})
 }
 
-func (k *KV) note(ev pketcd.WatchEvent) {
-	k.log = append(k.log, ev)
+func (k *KV) appendEvent(ev pketcd.WatchEvent) {
+	k.events = append(k.events, ev)
 	close(k.changed)
 	k.changed = make(chan struct{})
 }
@@ -215,7 +216,7 @@
 	defer k.mu.Unlock()
 	k.nextID++
 	ttl := time.Duration(in.TTL) * time.Second
-	k.leases[k.nextID] = &kvLease{ttl: ttl, end: time.Now().Add(ttl)}
+	k.leases[k.nextID] = &kvLease{ttl: ttl, expires: time.Now().Add(ttl)}
 	return pketcd.LeaseResponse{ID: k.nextID, TTL: in.TTL}
 }
 
@@ -223,31 +224,31 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	k.expire(now)
+	k.expireLeases(now)
 	l, found := k.leases[in.ID]
 	if !found {
 		return pketcd.KeepAliveResponse{Result: pketcd.LeaseResponse{ID: in.ID}}
 	}
-	l.end = now.Add(l.ttl)
+	l.expires = now.Add(l.ttl)
 	return pketcd.KeepAliveResponse{Result: pketcd.LeaseResponse{ID: in.ID, TTL: int64(l.ttl / time.Second)}}
 }
 
 func (k *KV) revoke(in pketcd.LeaseRequest) struct{} {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.end(in.ID)
+	k.endLease(in.ID)
 	return struct{}{}
 }
 
-func (k *KV) expire(now time.Time) {
+func (k *KV) expireLeases(now time.Time) {
 	for id, l := range k.leases {
-		if now.After(l.end) {
-			k.end(id)
+		if now.After(l.expires) {
+			k.endLease(id)
 		}
 	}
 }
 
-func (k *KV) end(id int64) {
+func (k *KV) endLease(id int64) {
 	delete(k.leases, id)
 	for key, kv := range k.keys {
 		if kv.Lease == id {
@@ -274,20 +275,20 @@
 	for {
 		k.mu.Lock()
 		var events []pketcd.WatchEvent
-		for _, ev := range k.log {
-			if ev.KV.ModRevision >= next && within(ev.KV.Key, in.Create.Key, in.Create.RangeEnd) {
+		for _, ev := range k.events {
+			if ev.KV.ModRevision >= next && inRange(ev.KV.Key, in.Create.Key, in.Create.RangeEnd) {
 				events = append(events, ev)
 			}
 		}
 		next = max(next, k.revision+1)
-		changed, broken := k.changed, k.broken
+		changed, watchCut := k.changed, k.watchCut
 		k.mu.Unlock()
 		if len(events) > 0 && !send(pketcd.WatchResult{Events: events}) {
 			return
 		}
 		select {
 		case <-changed:
-		case <-broken:
+		case <-watchCut:
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done():
 			return
--- a/pkstandin/server.go
+++ b/pkstandin/server.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// server is an HTTP server whose connections can be killed or silenced, and
-// which comes back at the same address.
+// server is an HTTP server that can be killed and restarted at the same address, and whose open
+// connections can be black-holed.
 type server struct {
 	handler http.Handler
 	addr    string
@@ -38,12 +38,12 @@
 	running, done := s.http, s.done
 	go func() {
 		defer close(done)
-		_ = running.Serve(&listener{Listener: l, server: s}) // it ends when it is killed
+		_ = running.Serve(&listener{Listener: l, server: s}) // returns when the server is killed
 	}()
 	return nil
 }
 
-// kill resets all connections and stops listening.
+// kill closes all connections and the listener.
 func (s *server) kill() {
 	s.mu.Lock()
 	running, done := s.http, s.done
@@ -52,17 +52,17 @@
 	if running == nil {
 		return
 	}
-	_ = running.Close() // what was open is cut, as meant
+	_ = running.Close() // open connections are cut on purpose
 	<-done
 }
 
-// silence makes the open connections go silent for good in both directions;
-// new ones work.
-func (s *server) silence() {
+// blackholeConns drops all further traffic of the open connections in both directions. New
+// connections are not affected.
+func (s *server) blackholeConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		c.mute()
+		c.blackhole()
 	}
 }
 
@@ -71,60 +71,60 @@
 	server *server
 }
 
-// Accept wraps each connection so that it can go silent.
+// Accept wraps each connection so that it can be black-holed.
 func (l *listener) Accept() (net.Conn, error) {
 	raw, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: raw, server: l.server, muted: make(chan struct{}), closed: make(chan struct{})}
+	c := &conn{Conn: raw, server: l.server, blackholed: make(chan struct{}), closed: make(chan struct{})}
 	l.server.mu.Lock()
 	defer l.server.mu.Unlock()
 	l.server.conns[c] = struct{}{}
 	return c, nil
 }
 
-// conn is a connection that can go silent, as one does that a middlebox has
-// forgotten: what is written is lost, and nothing comes any more.
+// conn is a connection that can be black-holed, like one whose state a middlebox has dropped: written
+// data is lost and nothing is received.
 type conn struct {
 	net.Conn
-	server    *server
-	muteOnce  sync.Once
-	muted     chan struct{}
-	closeOnce sync.Once
-	closed    chan struct{}
+	server        *server
+	blackholeOnce sync.Once
+	blackholed    chan struct{}
+	closeOnce     sync.Once
+	closed        chan struct{}
 }
 
-func (c *conn) mute() { c.muteOnce.Do(func() { close(c.muted) }) }
+func (c *conn) blackhole() { c.blackholeOnce.Do(func() { close(c.blackholed) }) }
 
-func (c *conn) silent() bool {
+func (c *conn) isBlackholed() bool {
 	select {
-	case <-c.muted:
+	case <-c.blackholed:
 		return true
 	default:
 		return false
 	}
 }
 
-// Read reads from the connection; on a silent one it waits until it is closed.
+// Read reads from the connection. On a black-holed one it blocks until the connection is closed.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if !c.silent() {
+	if !c.isBlackholed() {
 		return n, err
 	}
 	<-c.closed
 	return 0, net.ErrClosed
 }
 
-// Write writes to the connection; on a silent one the bytes are lost.
+// Write writes to the connection. On a black-holed one the data is dropped.
 func (c *conn) Write(p []byte) (int, error) {
-	if c.silent() {
+	if c.isBlackholed() {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
 }
 
-// Close closes the connection.
+// Close closes the connection. Further calls return nil.
 func (c *conn) Close() error {
 	err := net.ErrClosed
 	c.closeOnce.Do(func() {
--- a/pkstandin/service.go
+++ b/pkstandin/service.go
@@ -16,28 +16,28 @@
 	"peridotknot.example/pktrace"
 )
 
-// Echo is what a stand-in service answers.
+// Echo is the response body of a stand-in service.
 type Echo struct {
 	Call   string `json:"call"`
 	Bytes  int64  `json:"bytes"`
 	Digest string `json:"digest"`
 }
 
-// Service is one stand-in for a plain service.
+// Service is a stand-in for a plain service.
 type Service struct {
-	info   pktarget.Info
-	takes  time.Duration
-	max    int
-	world  *World
-	srv    *server
-	active atomic.Int64
-	slow   atomic.Int64
+	info           pktarget.Info
+	processingTime time.Duration
+	max            int
+	env            *World
+	srv            *server
+	active         atomic.Int64
+	extraDelay     atomic.Int64
 }
 
-// ServeHTTP runs one call: it reads the body, counts the run and echoes.
+// ServeHTTP runs a call: it reads the body, records the call and responds with an Echo.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == pkplatform.PathServiceLoad {
-		_ = json.NewEncoder(w).Encode(pkplatform.ServiceLoad{Active: int(s.active.Load()), Max: s.max}) // a caller that is gone is no fault
+		_ = json.NewEncoder(w).Encode(pkplatform.ServiceLoad{Active: int(s.active.Load()), Max: s.max}) // the client may have disconnected
 		return
 	}
 	s.active.Add(1)
@@ -48,8 +48,8 @@
 		return
 	}
 	call := r.Header.Get(pktrace.HeaderCall)
-	s.world.ran(call)
-	if !pktimer.Sleep(r.Context(), s.takes+time.Duration(s.slow.Load())) {
+	s.env.recordCall(call)
+	if !pktimer.Sleep(r.Context(), s.processingTime+time.Duration(s.extraDelay.Load())) {
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
--- a/pkstandin/settings.go
+++ b/pkstandin/settings.go
@@ -10,22 +10,22 @@
 
 const anyPort = "127.0.0.1:0"
 
-// Settings says which stand-ins there are.
+// Settings configures the stand-ins.
 type Settings struct {
 	// Store, Platform and Admin are the addresses to listen on.
 	Store    string `yaml:"store"`
 	Platform string `yaml:"platform"`
 	Admin    string `yaml:"admin"`
-	// Link is the one-way time between data centres.
+	// Link is the one-way delay between data centres.
 	Link time.Duration `yaml:"link"`
-	// LoadTime is how long an engine takes to carry out an order.
+	// LoadTime is the time that an engine takes to load a model.
 	LoadTime time.Duration       `yaml:"load_time"`
 	Kinds    map[pkid.Kind]Speed `yaml:"kinds"`
 	Engines  []EngineGroup       `yaml:"engines"`
 	Services []ServiceGroup      `yaml:"services"`
 }
 
-// EngineGroup is engines that are alike.
+// EngineGroup configures a group of identical engines.
 type EngineGroup struct {
 	Pool        pkid.PoolID       `yaml:"pool"`
 	Kind        pkid.Kind         `yaml:"kind"`
@@ -39,7 +39,7 @@
 	Enforces    bool              `yaml:"enforces_fencing"`
 }
 
-// ServiceGroup is services that are alike.
+// ServiceGroup configures a group of identical services.
 type ServiceGroup struct {
 	Pool        pkid.PoolID       `yaml:"pool"`
 	Count       int               `yaml:"count"`
@@ -48,7 +48,7 @@
 	Max         int               `yaml:"max"`
 }
 
-// ParseSettings reads and checks settings; the error is a pkyaml.Faults.
+// ParseSettings decodes and validates settings. Errors are of type pkyaml.Faults.
 func ParseSettings(file string, body []byte) (Settings, error) {
 	s, doc, err := pkyaml.Decode[Settings](file, body)
 	if err != nil {
