--- a/pklab/lab.go
+++ b/pklab/lab.go
@@ -31,40 +31,40 @@
 
 const loopback = "127.0.0.1:0"
 
-// Options says what a lab consists of.
+// Options configures a lab.
 type Options struct {
 	Standins pkstandin.Settings
 	Manifest []byte
 	Entries  int
 	Log      hclog.Logger
-	// Stop bounds the planned stop of an entry.
+	// Stop configures the planned stop of an entry. The zero value selects a default.
 	Stop pkentry.Stop
-	// Tracer takes the entries' spans; nil drops them.
+	// Tracer records the spans of the entries. If nil, spans are dropped.
 	Tracer trace.Tracer
-	// Change adapts the settings of an entry; nil changes nothing.
+	// Change modifies the settings of entry i before it starts. It may be nil.
 	Change func(i int, s *pkentry.Settings)
 }
 
-// Lab is a running deployment.
+// Lab is a running deployment of stand-ins and entries.
 type Lab struct {
-	World   *pkstandin.World
-	Store   *pketcd.Client
-	opts    Options
-	tracer  trace.Tracer
-	mu      sync.Mutex
-	entries []*entry
-	body    []byte
-	changes int
+	World       *pkstandin.World
+	Store       *pketcd.Client
+	opts        Options
+	tracer      trace.Tracer
+	mu          sync.Mutex
+	entries     []*entry
+	manifest    []byte
+	republished int
 }
 
 type entry struct {
 	*pkentry.Entry
-	stop context.CancelFunc
-	done chan struct{}
-	err  error
+	cancel context.CancelFunc
+	done   chan struct{}
+	err    error
 }
 
-// Start starts a lab and waits until each entry is ready.
+// Start starts a lab and waits until all entries are ready.
 func Start(ctx context.Context, o Options) (*Lab, error) {
 	if o.Log == nil {
 		o.Log = hclog.NewNullLogger()
@@ -80,19 +80,19 @@
 		return nil, err
 	}
 	l := &Lab{
-		World:  world,
-		Store:  pketcd.New(world.StoreAddr(), pkconn.DefaultOptions()),
-		opts:   o,
-		tracer: o.Tracer,
-		body:   o.Manifest,
+		World:    world,
+		Store:    pketcd.New(world.StoreAddr(), pkconn.DefaultOptions()),
+		opts:     o,
+		tracer:   o.Tracer,
+		manifest: o.Manifest,
 	}
-	if err := l.begin(ctx); err != nil {
+	if err := l.deploy(ctx); err != nil {
 		return nil, errors.Join(err, l.Close())
 	}
 	return l, nil
 }
 
-func (l *Lab) begin(ctx context.Context) error {
+func (l *Lab) deploy(ctx context.Context) error {
 	if _, err := l.Publish(ctx, l.opts.Manifest); err != nil {
 		return err
 	}
@@ -104,7 +104,7 @@
 	return l.WaitReady(ctx)
 }
 
-// Publish publishes a manifest body.
+// Publish validates and publishes a manifest.
 func (l *Lab) Publish(ctx context.Context, body []byte) (pkhead.Outcome, error) {
 	m, err := pkmanifest.Parse("manifest.yaml", body)
 	if err != nil {
@@ -118,7 +118,7 @@
 	})
 }
 
-// AddEntry starts one more entry and returns its number.
+// AddEntry starts another entry and returns its index. It does not wait until the entry is ready.
 func (l *Lab) AddEntry() (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,12 +129,12 @@
 		return 0, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	one := &entry{Entry: e, stop: cancel, done: make(chan struct{})}
+	started := &entry{Entry: e, cancel: cancel, done: make(chan struct{})}
 	go func() {
-		defer close(one.done)
-		one.err = e.Run(ctx)
+		defer close(started.done)
+		started.err = e.Run(ctx)
 	}()
-	l.entries = append(l.entries, one)
+	l.entries = append(l.entries, started)
 	return i, nil
 }
 
@@ -156,14 +156,14 @@
 	return s
 }
 
-// Entry returns entry i.
+// Entry returns the entry at index i.
 func (l *Lab) Entry(i int) *pkentry.Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.entries[i].Entry
 }
 
-// Addresses returns where the entries serve.
+// Addresses returns the addresses of all entries by index, including stopped ones.
 func (l *Lab) Addresses() []pktrace.Address {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -174,18 +174,18 @@
 	return out
 }
 
-// StopEntry stops an entry as SIGTERM would and waits for its end.
+// StopEntry stops an entry in the same way as SIGTERM and waits for its termination.
 func (l *Lab) StopEntry(i int) error {
 	l.mu.Lock()
 	e := l.entries[i]
 	l.mu.Unlock()
-	e.stop()
+	e.cancel()
 	<-e.done
 	return e.err
 }
 
-// ReplaceEntries replaces each running entry by a new one, as a nightly upgrade
-// of the router's own VMs does: the new one is ready before the old one stops.
+// ReplaceEntries replaces the running entries one by one, like a rolling upgrade. Each new entry is
+// ready before the old one stops.
 func (l *Lab) ReplaceEntries() error {
 	l.mu.Lock()
 	before := len(l.entries)
@@ -193,7 +193,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	for i := range before {
-		if l.stopped(i) {
+		if l.isStopped(i) {
 			continue
 		}
 		next, err := l.AddEntry()
@@ -210,7 +210,7 @@
 	return nil
 }
 
-func (l *Lab) stopped(i int) bool {
+func (l *Lab) isStopped(i int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	select {
@@ -221,10 +221,10 @@
 	}
 }
 
-// WaitReady waits until each entry that runs is ready.
+// WaitReady waits until all running entries are ready.
 func (l *Lab) WaitReady(ctx context.Context) error {
 	for i, a := range l.Addresses() {
-		if l.stopped(i) {
+		if l.isStopped(i) {
 			continue
 		}
 		if err := waitReady(ctx, a.Admin); err != nil {
@@ -253,11 +253,11 @@
 	if err != nil {
 		return false
 	}
-	_ = resp.Body.Close() // only the status counts
+	_ = resp.Body.Close() // only the status is needed
 	return resp.StatusCode == http.StatusOK
 }
 
-// Inject brings a fault of a trace about.
+// Inject injects a fault of a trace into the entries or the stand-ins.
 func (l *Lab) Inject(f pktrace.Fault) error {
 	switch f.Name {
 	case pktrace.FaultPublish:
@@ -278,14 +278,13 @@
 	return l.World.Fault(f)
 }
 
-// Republish publishes the manifest again with another comment, so that only
-// its digest differs.
+// Republish publishes the manifest again with an appended comment, so that only its digest changes.
 func (l *Lab) Republish() error {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	l.mu.Lock()
-	l.changes++
-	body := append(append([]byte{}, l.body...), fmt.Sprintf("# change %d\n", l.changes)...)
+	l.republished++
+	body := append(append([]byte{}, l.manifest...), fmt.Sprintf("# change %d\n", l.republished)...)
 	l.mu.Unlock()
 	out, err := l.Publish(ctx, body)
 	if err != nil {
@@ -297,8 +296,7 @@
 	return nil
 }
 
-// Upgrade is the target of a publish fault that gives each model its next
-// version, as the nightly upgrade does.
+// Upgrade is the target of a publish fault that upgrades each model to its next version.
 const Upgrade = "upgrade"
 
 var versionLine = regexp.MustCompile(`(?m)^(    version: ")([^"]+)"$`)
@@ -306,17 +304,17 @@
 // Upgrade publishes the manifest with the next version of each model.
 func (l *Lab) Upgrade() error {
 	l.mu.Lock()
-	l.body = versionLine.ReplaceAll(l.body, []byte(`${1}${2}-next"`))
+	l.manifest = versionLine.ReplaceAll(l.manifest, []byte(`${1}${2}-next"`))
 	l.mu.Unlock()
 	return l.Republish()
 }
 
-// Route returns a chain of engines for a model, as the VM list and the engines
-// themselves give it.
+// Route returns a chain of engines that covers a model, based on the VM list and the engines' load
+// reports.
 func (l *Lab) Route(ctx context.Context, model pkid.ModelID) ([]pkengine.Hop, error) {
 	engines := pkengine.NewClient(pkconn.DefaultOptions(), time.Second)
 	platform := pkplatform.New(l.World.PlatformAddr(), pkconn.DefaultOptions())
-	defer func() { _ = errors.Join(engines.Close(), platform.Close()) }() // only idle connections are left
+	defer func() { _ = errors.Join(engines.Close(), platform.Close()) }() // closes idle connections only
 	list, err := platform.VMs(ctx)
 	if err != nil {
 		return nil, err
@@ -335,19 +333,19 @@
 		}
 	}
 	if at != last || at == 0 {
-		return nil, fmt.Errorf("the engines of %s make no chain", model)
+		return nil, fmt.Errorf("no chain of engines covers model %s", model)
 	}
 	return route, nil
 }
 
-// Close stops the entries and the stand-ins and waits for them.
+// Close stops the entries and the stand-ins and waits for their termination.
 func (l *Lab) Close() error {
 	var errs []error
 	l.mu.Lock()
 	running := l.entries
 	l.mu.Unlock()
 	for _, e := range running {
-		e.stop()
+		e.cancel()
 	}
 	for _, e := range running {
 		<-e.done
--- a/pklab/lab_test.go
+++ b/pklab/lab_test.go
@@ -23,9 +23,8 @@
 	"peridotknot.example/pktrace"
 )
 
-// quick is stand-ins whose engines take almost no time, so that tests do not
-// wait for them.
-func quick(t testing.TB) pkstandin.Settings {
+// fastStandins returns stand-ins whose engines respond almost without delay.
+func fastStandins(t testing.TB) pkstandin.Settings {
 	raw, err := pksample.File("aare", pksample.FileStandins)
 	assert.NilError(t, err)
 	s, err := pkstandin.ParseSettings("standins.yaml", raw)
@@ -46,13 +45,13 @@
 	assert.NilError(t, err)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	l, err := Start(ctx, Options{Standins: quick(t), Manifest: manifest, Entries: entries})
+	l, err := Start(ctx, Options{Standins: fastStandins(t), Manifest: manifest, Entries: entries})
 	assert.NilError(t, err)
 	t.Cleanup(func() { assert.NilError(t, l.Close()) })
 	return l
 }
 
-func key(t testing.TB) string {
+func apiKey(t testing.TB) string {
 	keys, err := pksample.Keys("aare")
 	assert.NilError(t, err)
 	return keys["mitglieder"]
@@ -60,7 +59,7 @@
 
 func TestOfficialClient(t *testing.T) {
 	l := startLab(t, 1)
-	c := openai.NewClient(option.WithBaseURL("http://"+l.Addresses()[0].Callers+"/v1"), option.WithAPIKey(key(t)))
+	c := openai.NewClient(option.WithBaseURL("http://"+l.Addresses()[0].Callers+"/v1"), option.WithAPIKey(apiKey(t)))
 	params := openai.ChatCompletionNewParams{
 		Model:     "budget-de",
 		MaxTokens: openai.Int(12),
@@ -70,24 +69,24 @@
 	assert.NilError(t, err)
 	assert.Equal(t, list.Data[0].ID, "budget-de")
 
-	whole, err := c.Chat.Completions.New(t.Context(), params)
+	completion, err := c.Chat.Completions.New(t.Context(), params)
 	assert.NilError(t, err)
-	assert.Equal(t, len(strings.Fields(whole.Choices[0].Message.Content)), 12)
-	assert.Equal(t, whole.Usage.CompletionTokens, int64(12))
+	assert.Equal(t, len(strings.Fields(completion.Choices[0].Message.Content)), 12)
+	assert.Equal(t, completion.Usage.CompletionTokens, int64(12))
 
 	params.StreamOptions = openai.ChatCompletionStreamOptionsParam{IncludeUsage: openai.Bool(true)}
 	stream := c.Chat.Completions.NewStreaming(t.Context(), params)
-	var said strings.Builder
-	var used int64
+	var content strings.Builder
+	var usedTokens int64
 	for stream.Next() {
 		for _, choice := range stream.Current().Choices {
-			said.WriteString(choice.Delta.Content)
+			content.WriteString(choice.Delta.Content)
 		}
-		used = max(used, stream.Current().Usage.CompletionTokens)
+		usedTokens = max(usedTokens, stream.Current().Usage.CompletionTokens)
 	}
 	assert.NilError(t, stream.Err())
-	assert.Equal(t, said.String(), whole.Choices[0].Message.Content)
-	assert.Equal(t, used, int64(12))
+	assert.Equal(t, content.String(), completion.Choices[0].Message.Content)
+	assert.Equal(t, usedTokens, int64(12))
 
 	text, err := c.Completions.New(t.Context(), openai.CompletionNewParams{
 		Model: "budget-de:plain-german", MaxTokens: openai.Int(3), Prompt: openai.CompletionNewParamsPromptUnion{OfString: openai.String("Ja")},
@@ -132,13 +131,13 @@
 	return resp, out
 }
 
-const chat = `{"model":"budget-de","max_tokens":3,"messages":[{"role":"user","content":"hi"}]}`
+const chatBody = `{"model":"budget-de","max_tokens":3,"messages":[{"role":"user","content":"hi"}]}`
 
-// A caller sends something wrong. It must get a clear error that says that
-// nothing was run, and what others send meanwhile must not notice.
+// An invalid request must fail with its error code and the verdict that nothing ran, and must not
+// affect other requests.
 func TestBadInput(t *testing.T) {
 	l := startLab(t, 1)
-	good := key(t)
+	good := apiKey(t)
 	cases := map[string]struct {
 		path, key, body string
 		header          []string
@@ -146,17 +145,17 @@
 		code            string
 	}{
 		"malformed body":   {"/v1/chat/completions", good, `{"model":`, nil, 400, "invalid_body"},
-		"two bodies":       {"/v1/chat/completions", good, chat + chat, nil, 400, "invalid_body"},
+		"two bodies":       {"/v1/chat/completions", good, chatBody + chatBody, nil, 400, "invalid_body"},
 		"no messages":      {"/v1/chat/completions", good, `{"model":"budget-de"}`, nil, 400, "invalid_body"},
 		"image part":       {"/v1/chat/completions", good, `{"model":"budget-de","messages":[{"role":"user","content":[{"type":"image_url"}]}]}`, nil, 400, "invalid_body"},
-		"n above one":      {"/v1/chat/completions", good, `{"n":2,` + chat[1:], nil, 400, "invalid_body"},
+		"n above one":      {"/v1/chat/completions", good, `{"n":2,` + chatBody[1:], nil, 400, "invalid_body"},
 		"prompt too long":  {"/v1/completions", good, `{"model":"budget-de","prompt":"` + strings.Repeat("x", 40000) + `"}`, nil, 400, "context_length_exceeded"},
 		"body too large":   {"/v1/chat/completions", good, strings.Repeat("x", 2<<20), nil, 413, "body_too_large"},
-		"unknown model":    {"/v1/chat/completions", good, strings.Replace(chat, "budget-de", "other", 1), nil, 404, "model_not_found"},
-		"unknown adapter":  {"/v1/chat/completions", good, strings.Replace(chat, "budget-de", "budget-de:x", 1), nil, 404, "model_not_found"},
-		"wrong key":        {"/v1/chat/completions", good[:len(good)-1] + "!", chat, nil, 401, "invalid_api_key"},
-		"no key":           {"/v1/chat/completions", "", chat, nil, 401, "invalid_api_key"},
-		"bad deadline":     {"/v1/chat/completions", good, chat, []string{pkopenai.HeaderDeadline, "soon"}, 400, "bad_timeout"},
+		"unknown model":    {"/v1/chat/completions", good, strings.Replace(chatBody, "budget-de", "other", 1), nil, 404, "model_not_found"},
+		"unknown adapter":  {"/v1/chat/completions", good, strings.Replace(chatBody, "budget-de", "budget-de:x", 1), nil, 404, "model_not_found"},
+		"wrong key":        {"/v1/chat/completions", good[:len(good)-1] + "!", chatBody, nil, 401, "invalid_api_key"},
+		"no key":           {"/v1/chat/completions", "", chatBody, nil, 401, "invalid_api_key"},
+		"bad deadline":     {"/v1/chat/completions", good, chatBody, []string{pkopenai.HeaderDeadline, "soon"}, 400, "bad_timeout"},
 		"unknown service":  {"/services/booking/x", good, "", nil, 404, "service_not_found"},
 		"unknown path":     {"/v1/embeddings", good, "", nil, 404, "not_found"},
 		"service body big": {"/services/voting/x", good, strings.Repeat("x", 2<<20), nil, 413, "body_too_large"},
@@ -169,20 +168,20 @@
 			assert.Equal(t, body["error"]["verdict"], "not_run")
 			assert.Equal(t, resp.Header.Get(pkopenai.HeaderVerdict), "not_run")
 			assert.Assert(t, resp.Header.Get(pkopenai.HeaderRequestID) != "")
-			resp, _ = post(t, l, "/v1/chat/completions", good, chat)
+			resp, _ = post(t, l, "/v1/chat/completions", good, chatBody)
 			assert.Equal(t, resp.StatusCode, http.StatusOK)
 		})
 	}
 }
 
-// A body is announced with 2 GB. It must be refused before it is sent: reading
-// it would fill a small VM's memory or its link.
-func TestHugeBodyIsRefusedUnread(t *testing.T) {
+// A request with a Content-Length above the limit must be rejected before its body is read: reading
+// it would exhaust the memory or the link of a small VM.
+func TestOversizedBodyIsRejectedUnread(t *testing.T) {
 	l := startLab(t, 1)
 	for _, path := range []string{"/v1/chat/completions", "/services/voting/x"} {
 		c, err := net.Dial("tcp", l.Addresses()[0].Callers)
 		assert.NilError(t, err)
-		fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n", path, key(t), int64(2)<<30)
+		fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n", path, apiKey(t), int64(2)<<30)
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		assert.NilError(t, err)
 		assert.Equal(t, resp.StatusCode, http.StatusRequestEntityTooLarge)
@@ -192,9 +191,8 @@
 	}
 }
 
-// Slow-loris callers open connections and send their heads a byte at a time.
-// Other callers must be served all the while.
-func TestSlowCallersHoldNobodyUp(t *testing.T) {
+// Connections with incomplete request headers (slowloris) must not block other callers.
+func TestSlowHeadersDoNotBlockOtherCallers(t *testing.T) {
 	l := startLab(t, 1)
 	for range 100 {
 		c, err := net.Dial("tcp", l.Addresses()[0].Callers)
@@ -202,16 +200,16 @@
 		defer func() { _ = c.Close() }()
 		fmt.Fprint(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-")
 	}
-	resp, _ := post(t, l, "/v1/chat/completions", key(t), chat)
+	resp, _ := post(t, l, "/v1/chat/completions", apiKey(t), chatBody)
 	assert.Equal(t, resp.StatusCode, http.StatusOK)
 }
 
-func TestServiceCallGoesThroughWhole(t *testing.T) {
+func TestServiceCallIsForwarded(t *testing.T) {
 	l := startLab(t, 1)
 	body := bytes.Repeat([]byte("0123456789"), 10_000)
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPatch, "http://"+l.Addresses()[0].Callers+"/services/voting/a%2Fb?q=1", bytes.NewReader(body))
 	assert.NilError(t, err)
-	req.Header.Set("Authorization", "Bearer "+key(t))
+	req.Header.Set("Authorization", "Bearer "+apiKey(t))
 	req.Header.Set(pkopenai.HeaderRequestID, "mine-7")
 	req.Header.Set(pktrace.HeaderCall, "call-7")
 	resp, err := http.DefaultClient.Do(req)
--- a/pklab/latency_test.go
+++ b/pklab/latency_test.go
@@ -22,14 +22,14 @@
 	"peridotknot.example/pksample"
 )
 
-// halfLoad is how many streams run beside a measurement: half of the places
-// that the engines of a paced lab have.
-const halfLoad = 24
-
-// paced starts a lab whose engines all take the same time for a token, so that
-// two streams differ by the entry and not by their engines.
-func paced(b *testing.B) *Lab {
-	standins := quick(b)
+// backgroundStreams is the number of concurrent streams during a measurement: half of the batch
+// slots of a paced lab.
+const backgroundStreams = 24
+
+// startPacedLab starts a lab whose engines all have the same token time, so that the latencies of two
+// streams do not differ by engine.
+func startPacedLab(b *testing.B) *Lab {
+	standins := fastStandins(b)
 	for kind, speed := range standins.Kinds {
 		speed.Base = 3 * time.Millisecond / 32
 		standins.Kinds[kind] = speed
@@ -44,12 +44,12 @@
 	return l
 }
 
-// load keeps streams running through the entry until stop is called.
-func load(b *testing.B, l *Lab) (stop func()) {
+// startLoad runs backgroundStreams streams through the entry until stop is called.
+func startLoad(b *testing.B, l *Lab) (stop func()) {
 	_, routed := streamPaths(b, l)
 	done := make(chan struct{})
 	var wg sync.WaitGroup
-	for range halfLoad {
+	for range backgroundStreams {
 		wg.Go(func() {
 			client := &http.Client{Transport: pkconn.DefaultOptions().Transport()}
 			for {
@@ -57,7 +57,7 @@
 				case <-done:
 					return
 				default:
-					do(b, client, routed(0), nil)
+					runRequest(b, client, routed(0), nil)
 				}
 			}
 		})
@@ -68,46 +68,45 @@
 	}
 }
 
-// BenchmarkAddedLatency measures what the entry adds to a service call and to a
-// token at half load, against calling the stand-in directly in the same run, in
-// turn.
+// BenchmarkAddedLatency measures the latency that the entry adds to a service call and to a token at
+// half load. Direct and routed requests alternate within a run.
 func BenchmarkAddedLatency(b *testing.B) {
-	l := paced(b)
-	defer load(b, l)()
+	l := startPacedLab(b)
+	defer startLoad(b, l)()
 	client := &http.Client{Transport: pkconn.DefaultOptions().Transport()}
 	b.Run("call", func(b *testing.B) {
 		direct, routed := callPaths(b, l)
-		added(b, func() { do(b, client, direct(), nil) }, func() { do(b, client, routed(), nil) })
+		compareLatency(b, func() { runRequest(b, client, direct(), nil) }, func() { runRequest(b, client, routed(), nil) })
 	})
 	b.Run("token", func(b *testing.B) {
 		direct, routed := streamPaths(b, l)
-		fromEngine, fromEntry := newTimes(), newTimes()
+		directTimes, routedTimes := newHistogram(), newHistogram()
 		for i := 0; b.Loop(); i++ {
-			do(b, client, direct(i), fromEngine)
-			do(b, client, routed(i), fromEntry)
+			runRequest(b, client, direct(i), directTimes)
+			runRequest(b, client, routed(i), routedTimes)
 		}
-		report(b, fromEngine, fromEntry)
+		report(b, directTimes, routedTimes)
 	})
 	b.Run("first_token", func(b *testing.B) {
 		direct, routed := streamPaths(b, l)
 		i := 0
-		added(b, func() { i++; first(b, client, direct(i)) }, func() { first(b, client, routed(i)) })
+		compareLatency(b, func() { i++; readFirstLine(b, client, direct(i)) }, func() { readFirstLine(b, client, routed(i)) })
 	})
 }
 
-func newTimes() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60_000_000_000, 3) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60_000_000_000, 3) }
 
-func added(b *testing.B, direct, routed func()) {
-	plain, through := newTimes(), newTimes()
+func compareLatency(b *testing.B, direct, routed func()) {
+	directTimes, routedTimes := newHistogram(), newHistogram()
 	for b.Loop() {
 		began := time.Now()
 		direct()
-		_ = plain.RecordValue(time.Since(began).Nanoseconds())
+		_ = directTimes.RecordValue(time.Since(began).Nanoseconds())
 		began = time.Now()
 		routed()
-		_ = through.RecordValue(time.Since(began).Nanoseconds())
+		_ = routedTimes.RecordValue(time.Since(began).Nanoseconds())
 	}
-	report(b, plain, through)
+	report(b, directTimes, routedTimes)
 }
 
 func report(b *testing.B, direct, routed *hdrhistogram.Histogram) {
@@ -117,8 +116,8 @@
 	}
 }
 
-// do runs a request to its end and records the times between its lines.
-func do(b *testing.B, client *http.Client, req *http.Request, times *hdrhistogram.Histogram) {
+// runRequest reads a response to its end and records the times between its lines, unless times is nil.
+func runRequest(b *testing.B, client *http.Client, req *http.Request, times *hdrhistogram.Histogram) {
 	resp, err := client.Do(req)
 	assert.NilError(b, err)
 	defer func() { _ = resp.Body.Close() }()
@@ -141,7 +140,7 @@
 	}
 }
 
-func first(b *testing.B, client *http.Client, req *http.Request) {
+func readFirstLine(b *testing.B, client *http.Client, req *http.Request) {
 	resp, err := client.Do(req)
 	assert.NilError(b, err)
 	_, err = bufio.NewReader(resp.Body).ReadSlice('\n')
@@ -183,18 +182,18 @@
 func request(b *testing.B, method, url string, body []byte) *http.Request {
 	req, err := http.NewRequestWithContext(b.Context(), method, url, bytes.NewReader(body))
 	assert.NilError(b, err)
-	req.Header.Set("Authorization", "Bearer "+key(b))
+	req.Header.Set("Authorization", "Bearer "+apiKey(b))
 	return req
 }
 
-// BenchmarkRequest runs model requests of one token, for a profile of what a
-// request costs besides its tokens.
+// BenchmarkRequest runs model requests with one output token, for profiles of the fixed cost of a
+// request.
 func BenchmarkRequest(b *testing.B) {
 	l := startLab(b, 1)
 	client := &http.Client{Transport: pkconn.DefaultOptions().Transport()}
 	body := []byte(`{"model":"budget-de","stream":true,"max_tokens":1,"messages":[{"role":"user","content":"x"}]}`)
 	b.ReportAllocs()
 	for b.Loop() {
-		do(b, client, request(b, http.MethodPost, "http://"+l.Addresses()[0].Callers+"/v1/chat/completions", body), nil)
+		runRequest(b, client, request(b, http.MethodPost, "http://"+l.Addresses()[0].Callers+"/v1/chat/completions", body), nil)
 	}
 }
--- a/pklab/observe_test.go
+++ b/pklab/observe_test.go
@@ -23,41 +23,41 @@
 	"peridotknot.example/pktrace"
 )
 
-// locked is a log that entries write to at once.
-type locked struct {
+// syncBuffer is a buffer for concurrent writers.
+type syncBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (l *locked) Write(p []byte) (int, error) {
+func (l *syncBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(p)
 }
 
-func (l *locked) String() string {
+func (l *syncBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.String()
 }
 
-// observed is a lab whose logs, spans and recording are kept.
-type observed struct {
+// instrumentedLab is a lab with captured logs, spans and request recording.
+type instrumentedLab struct {
 	*Lab
-	log    *locked
+	log    *syncBuffer
 	spans  *tracetest.InMemoryExporter
 	record string
 }
 
-func startObserved(t *testing.T) observed {
+func startInstrumentedLab(t *testing.T) instrumentedLab {
 	manifest, err := pksample.File("aare", pksample.FileManifest)
 	assert.NilError(t, err)
-	o := observed{log: &locked{}, spans: tracetest.NewInMemoryExporter(), record: filepath.Join(t.TempDir(), "trace.jsonl")}
+	o := instrumentedLab{log: &syncBuffer{}, spans: tracetest.NewInMemoryExporter(), record: filepath.Join(t.TempDir(), "trace.jsonl")}
 	provider := sdktrace.NewTracerProvider(sdktrace.WithSyncer(o.spans))
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	o.Lab, err = Start(ctx, Options{
-		Standins: quick(t),
+		Standins: fastStandins(t),
 		Manifest: manifest,
 		Entries:  1,
 		Log:      hclog.New(&hclog.LoggerOptions{Level: hclog.Trace, Output: o.log}),
@@ -81,13 +81,13 @@
 	return string(raw)
 }
 
-// A member writes something private and sends it with a key. Whatever the
-// router keeps of the request, neither may stand in it.
-func TestNothingPrivateIsKept(t *testing.T) {
-	l := startObserved(t)
+// Logs, spans, the recording, metrics and status must contain neither the content of a request nor
+// its API key.
+func TestPrivateDataIsNotRetained(t *testing.T) {
+	l := startInstrumentedLab(t)
 	secret := "geheimnis-der-stimmabgabe"
-	k := key(t)
-	body := strings.Replace(chat, "hi", secret, 1)
+	k := apiKey(t)
+	body := strings.Replace(chatBody, "hi", secret, 1)
 	resp, _ := post(t, l.Lab, "/v1/chat/completions", k, body)
 	assert.Equal(t, resp.StatusCode, http.StatusOK)
 	post(t, l.Lab, "/services/voting/slots/"+secret+"?q="+secret, k, secret)
@@ -121,9 +121,9 @@
 }
 
 func TestRecordingCanBeReplayed(t *testing.T) {
-	l := startObserved(t)
-	post(t, l.Lab, "/v1/chat/completions", key(t), chat)
-	post(t, l.Lab, "/services/voting/slots/1", key(t), "body", pkopenai.HeaderDeadline, "3s")
+	l := startInstrumentedLab(t)
+	post(t, l.Lab, "/v1/chat/completions", apiKey(t), chatBody)
+	post(t, l.Lab, "/services/voting/slots/1", apiKey(t), "body", pkopenai.HeaderDeadline, "3s")
 	raw, err := os.ReadFile(l.record)
 	assert.NilError(t, err)
 	lines, err := pktrace.Read(l.record, bytes.NewReader(raw))
@@ -142,19 +142,18 @@
 	}
 }
 
-// An operator follows one request through the router. Each hop must have its
-// span, all in the trace that the caller began.
+// Each hop of a request must have a span in the trace of the caller.
 func TestEachHopHasASpan(t *testing.T) {
-	l := startObserved(t)
+	l := startInstrumentedLab(t)
 	const trace = "0af7651916cd43dd8448eb211c80319c"
-	post(t, l.Lab, "/v1/chat/completions", key(t), chat, "traceparent", "00-"+trace+"-b7ad6b7169203331-01")
-	post(t, l.Lab, "/services/voting/x", key(t), "", "traceparent", "00-"+trace+"-b7ad6b7169203331-01")
-	have := map[string]int{}
+	post(t, l.Lab, "/v1/chat/completions", apiKey(t), chatBody, "traceparent", "00-"+trace+"-b7ad6b7169203331-01")
+	post(t, l.Lab, "/services/voting/x", apiKey(t), "", "traceparent", "00-"+trace+"-b7ad6b7169203331-01")
+	spanCounts := map[string]int{}
 	for _, s := range l.spans.GetSpans() {
 		if s.SpanContext.TraceID().String() == trace {
-			have[s.Name]++
+			spanCounts[s.Name]++
 		}
 	}
-	assert.DeepEqual(t, have, map[string]int{"call": 2, "admission": 2, "attempt": 1, "service": 1})
+	assert.DeepEqual(t, spanCounts, map[string]int{"call": 2, "admission": 2, "attempt": 1, "service": 1})
 	assert.Assert(t, strings.Contains(l.log.String(), "trace_id="+trace))
 }
--- a/pklab/peers_test.go
+++ b/pklab/peers_test.go
@@ -11,16 +11,15 @@
 	"peridotknot.example/pkid"
 )
 
-// eventually waits for a state of the lab; the limit only ends a test that
-// would never pass.
-func eventually(t *testing.T, what string, is func() bool) {
+// eventually waits until the condition holds and fails the test after a timeout.
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	for !is() {
+	for !condition() {
 		select {
 		case <-ctx.Done():
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
@@ -28,19 +27,18 @@
 
 func status(l *Lab, i int) pkentry.Status { return l.Entry(i).Status(time.Now()) }
 
-func meet(t *testing.T, l *Lab, entries int) {
+func waitForNeighbors(t *testing.T, l *Lab, entries int) {
 	t.Helper()
 	for i := range entries {
-		eventually(t, "the entries meet", func() bool { return len(status(l, i).Neighbors) == entries-1 })
+		eventually(t, "the entries are connected", func() bool { return len(status(l, i).Neighbors) == entries-1 })
 	}
 }
 
-// The key-value service is down for hours. A VM is replaced, and the new one
-// has no disk. It must learn the manifest from its peers and serve; and what is
-// published once the store is back must reach it too.
-func TestFreshEntryWithStoreDown(t *testing.T) {
+// An entry that starts while the key-value service is down must get the manifest from its peers and
+// serve, and must adopt manifests that are published after the service has recovered.
+func TestNewEntryStartsWhileStoreIsDown(t *testing.T) {
 	l := startLab(t, 2)
-	meet(t, l, 2)
+	waitForNeighbors(t, l, 2)
 	seed := l.Entry(0).Peers()
 	l.opts.Change = func(_ int, s *pkentry.Settings) { s.Peers.Seeds = []string{seed} }
 	l.World.KV.SetDown(true)
@@ -58,9 +56,9 @@
 	}
 }
 
-// The store is restored from an older copy. Its head names a revision that is
-// behind the one in force. No entry may go back, and the operator must see why.
-func TestRestoredStoreIsRefused(t *testing.T) {
+// After the store is restored from an older copy, its head names an older revision than the one in
+// force. No entry may revert to it, and an alarm must be raised.
+func TestRestoredStoreIsRejected(t *testing.T) {
 	l := startLab(t, 2)
 	old := l.World.KV.Snapshot()
 	assert.NilError(t, l.Republish())
@@ -73,23 +71,22 @@
 	assert.Equal(t, status(l, 1).Revision, pkid.Revision(2))
 }
 
-// Two VMs were given one entry id. Both must go on, and both must say so.
-func TestTwoVMsWithOneID(t *testing.T) {
+// A second entry with the same ID must be reported by an alarm.
+func TestDuplicateEntryID(t *testing.T) {
 	l := startLab(t, 2)
-	meet(t, l, 2)
+	waitForNeighbors(t, l, 2)
 	l.opts.Change = func(_ int, s *pkentry.Settings) { s.Entry = "entry-0" }
 	_, err := l.AddEntry()
 	assert.NilError(t, err)
-	eventually(t, "the twin is seen", func() bool { return status(l, 1).Alarm != "" })
+	eventually(t, "the duplicate ID is reported", func() bool { return status(l, 1).Alarm != "" })
 }
 
-// An entry stops as planned. The others must stop counting on it at once, and
-// nothing that it had in progress may break.
-func TestPlannedStopTellsPeers(t *testing.T) {
+// After the planned stop of an entry, its neighbors must remove it.
+func TestPlannedStopNotifiesPeers(t *testing.T) {
 	l := startLab(t, 3)
-	meet(t, l, 3)
+	waitForNeighbors(t, l, 3)
 	assert.NilError(t, l.StopEntry(2))
-	eventually(t, "the neighbors know", func() bool {
+	eventually(t, "the neighbors have removed the entry", func() bool {
 		return len(status(l, 0).Neighbors) == 1 && len(status(l, 1).Neighbors) == 1
 	})
 }
--- a/pklab/rollout_test.go
+++ b/pklab/rollout_test.go
@@ -12,8 +12,8 @@
 	"peridotknot.example/pkplatform"
 )
 
-// versions returns how many engines hold each version of the sample's model.
-func versions(t *testing.T, l *Lab) map[pkid.Version]int {
+// countVersions returns the number of engines per loaded model version.
+func countVersions(t *testing.T, l *Lab) map[pkid.Version]int {
 	t.Helper()
 	engines := pkengine.NewClient(pkconn.DefaultOptions(), time.Second)
 	platform := pkplatform.New(l.World.PlatformAddr(), pkconn.DefaultOptions())
@@ -33,7 +33,7 @@
 	return out
 }
 
-func owner(l *Lab, entries int) int {
+func poolOwner(l *Lab, entries int) int {
 	for i := range entries {
 		if len(status(l, i).Owns) > 0 {
 			return i
@@ -42,26 +42,24 @@
 	return -1
 }
 
-// The nightly upgrade is published, and the entry that owns the pool stops in
-// the middle of the roll-out. Another one must take the pool over and finish
-// it, callers must be answered all the while, and the new owner's fencing
-// number must be the higher one.
-func TestRollOutOutlivesItsOwner(t *testing.T) {
+// When the entry that owns the pool stops during a rollout, another one must take over the pool and
+// complete the rollout, without failed requests or violations.
+func TestRolloutSurvivesOwnerStop(t *testing.T) {
 	l := startLab(t, 3)
-	meet(t, l, 3)
-	eventually(t, "the pool has an owner", func() bool { return owner(l, 3) >= 0 })
-	first := owner(l, 3)
+	waitForNeighbors(t, l, 3)
+	eventually(t, "the pool has an owner", func() bool { return poolOwner(l, 3) >= 0 })
+	oldOwner := poolOwner(l, 3)
 	assert.NilError(t, l.Upgrade())
-	eventually(t, "the roll-out began", func() bool { return versions(t, l)["2026-12-01-next"] > 0 })
-	assert.NilError(t, l.StopEntry(first))
-	alive := (first + 1) % 3
-	eventually(t, "every engine holds the new version", func() bool {
-		resp, _ := postTo(t, l, alive, "/v1/chat/completions", key(t), chat)
+	eventually(t, "the rollout has started", func() bool { return countVersions(t, l)["2026-12-01-next"] > 0 })
+	assert.NilError(t, l.StopEntry(oldOwner))
+	alive := (oldOwner + 1) % 3
+	eventually(t, "every engine has loaded the new version", func() bool {
+		resp, _ := postTo(t, l, alive, "/v1/chat/completions", apiKey(t), chatBody)
 		assert.Equal(t, resp.StatusCode, 200)
-		v := versions(t, l)
+		v := countVersions(t, l)
 		return v["2026-12-01-next"] == 12 && len(v) == 1
 	})
-	next := owner(l, 3)
-	assert.Assert(t, next >= 0 && next != first, "owner is %d, was %d", next, first)
+	newOwner := poolOwner(l, 3)
+	assert.Assert(t, newOwner >= 0 && newOwner != oldOwner, "owner is %d, was %d", newOwner, oldOwner)
 	assert.Equal(t, l.World.Ledger().Broken, 0)
 }
--- a/pklab/stop_test.go
+++ b/pklab/stop_test.go
@@ -14,13 +14,12 @@
 	"peridotknot.example/pksample"
 )
 
-// An entry is stopped while an answer runs that takes longer than the stop may.
-// The caller must be told that the answer is not whole and why, in place of a
-// connection that breaks in the middle of a word.
-func TestStreamAtTheLimitOfAStopGetsAClearEnd(t *testing.T) {
-	standins := quick(t)
+// A stream that is still running at the limit of a planned stop must end with an error event that
+// gives the code and the verdict, not with a broken connection.
+func TestStreamCutByStopLimitEndsWithError(t *testing.T) {
+	standins := fastStandins(t)
 	for kind, speed := range standins.Kinds {
-		speed.Base = time.Millisecond // 32 layers: about 30 tokens a second
+		speed.Base = time.Millisecond // 32 layers, about 30 tokens per second
 		standins.Kinds[kind] = speed
 	}
 	manifest, err := pksample.File("aare", pksample.FileManifest)
@@ -33,7 +32,7 @@
 	body := `{"model":"budget-de","stream":true,"max_tokens":1000,"messages":[{"role":"user","content":"x"}]}`
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.Addresses()[0].Callers+"/v1/chat/completions", strings.NewReader(body))
 	assert.NilError(t, err)
-	req.Header.Set("Authorization", "Bearer "+key(t))
+	req.Header.Set("Authorization", "Bearer "+apiKey(t))
 	resp, err := http.DefaultClient.Do(req)
 	assert.NilError(t, err)
 	defer func() { _ = resp.Body.Close() }()
