--- a/pkmeasure/control.go
+++ b/pkmeasure/control.go
@@ -14,82 +14,82 @@
 	"peridotknot.example/pktimer"
 )
 
-// settle is how long a fresh lab is left before it is measured, and watched how
-// long it is measured: longer than a watcher of the store waits between reads.
+// settleTime is the delay between the start of a lab and the measurement, and sampleTime the duration
+// of the measurement. It is longer than the interval between a watcher's rereads of the store.
 const (
-	settle  = 2 * time.Second
-	watched = 12 * time.Second
+	settleTime = 2 * time.Second
+	sampleTime = 12 * time.Second
 )
 
-// control measures what idle entries cost by their number: nothing is asked of
-// them, so all of it is polling, membership and the store.
-func control(ctx context.Context, say func(string)) ([]Series, error) {
-	processor := Series{Name: "control_processor_share_by_nodes", X: "entries in one neighborhood", Y: "share of a core a node"}
+// measureControl measures the cost of idle entries by their number. Without requests, all of it is
+// load polling, membership and access to the store.
+func measureControl(ctx context.Context, progress func(string)) ([]Series, error) {
+	cpu := Series{Name: "control_processor_share_by_nodes", X: "entries in one neighborhood", Y: "share of a core a node"}
 	sent := Series{Name: "control_sent_by_nodes", X: "entries in one neighborhood", Y: "bytes a second sent to peers a node"}
 	calls := Series{Name: "store_calls_by_nodes", X: "entries", Y: "calls a second on the key-value service"}
 	heap := Series{Name: "heap_by_nodes", X: "entries in one neighborhood", Y: "bytes of heap a node, stand-ins included"}
 	for _, n := range []int{3, 8, 24, 48} {
-		say(fmt.Sprintf("%d entries", n))
-		c, err := controlOf(ctx, n)
+		progress(fmt.Sprintf("%d entries", n))
+		c, err := controlCostFor(ctx, n)
 		if err != nil {
 			return nil, err
 		}
 		x := float64(n)
-		processor.Points = append(processor.Points, Point{x, c.processor})
+		cpu.Points = append(cpu.Points, Point{x, c.cpu})
 		sent.Points = append(sent.Points, Point{x, c.sent})
 		calls.Points = append(calls.Points, Point{x, c.calls})
 		heap.Points = append(heap.Points, Point{x, c.heap})
 	}
-	return []Series{processor.fit(), sent.fit(), calls.fit(), heap.fit()}, nil
+	return []Series{cpu.fit(), sent.fit(), calls.fit(), heap.fit()}, nil
 }
 
-type controlCost struct{ processor, sent, calls, heap float64 }
+type controlCost struct{ cpu, sent, calls, heap float64 }
 
-func controlOf(ctx context.Context, n int) (controlCost, error) {
-	seedsOf := ""
-	l, err := lab(ctx, 1, 0, func(o *pklab.Options) {
+func controlCostFor(ctx context.Context, n int) (controlCost, error) {
+	seed := ""
+	l, err := startLab(ctx, 1, 0, func(o *pklab.Options) {
 		o.Change = func(_ int, s *pkentry.Settings) {
-			if seedsOf != "" {
-				s.Peers.Seeds = []string{seedsOf}
+			if seed != "" {
+				s.Peers.Seeds = []string{seed}
 			}
 		}
 	})
 	if err != nil {
 		return controlCost{}, err
 	}
-	defer func() { _ = l.Close() }() // what was measured stands either way
-	seedsOf = l.Entry(0).Peers()
+	defer func() { _ = l.Close() }() // the measurement does not depend on the shutdown
+	seed = l.Entry(0).Peers()
 	for range n - 1 {
 		if _, err := l.AddEntry(); err != nil {
 			return controlCost{}, err
 		}
 	}
-	if err := waitMet(ctx, l, n); err != nil {
+	if err := waitConnected(ctx, l, n); err != nil {
 		return controlCost{}, err
 	}
-	pktimer.Sleep(ctx, settle)
+	pktimer.Sleep(ctx, settleTime)
 	before, callsBefore := sentBytes(l, n), l.World.KV.Calls()
-	took := spent(func() { pktimer.Sleep(ctx, watched) })
-	seconds := watched.Seconds()
+	took := cpuTimeOf(func() { pktimer.Sleep(ctx, sampleTime) })
+	seconds := sampleTime.Seconds()
 	runtime.GC()
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
 	return controlCost{
-		processor: took.Seconds() / seconds / float64(n),
-		sent:      float64(sentBytes(l, n)-before) / seconds / float64(n),
-		calls:     float64(l.World.KV.Calls()-callsBefore) / seconds,
-		heap:      float64(mem.HeapAlloc) / float64(n),
+		cpu:   took.Seconds() / seconds / float64(n),
+		sent:  float64(sentBytes(l, n)-before) / seconds / float64(n),
+		calls: float64(l.World.KV.Calls()-callsBefore) / seconds,
+		heap:  float64(mem.HeapAlloc) / float64(n),
 	}, nil
 }
 
-func waitMet(ctx context.Context, l *pklab.Lab, n int) error {
+func waitConnected(ctx context.Context, l *pklab.Lab, n int) error {
 	const limit = 20 * time.Second
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	for i := range n {
 		for len(l.Entry(i).Status(time.Now()).Neighbors) < n-1 {
 			if ctx.Err() != nil {
-				return errors.New("the entries did not all meet")
+				return errors.New("not all entries are connected")
 			}
 			pktimer.Sleep(ctx, 20*time.Millisecond)
 		}
@@ -105,13 +105,13 @@
 	return sum
 }
 
-// changes measures how long a publication takes until it is in force on every
-// entry, with the store up, by the number of entries.
-func changes(ctx context.Context, say func(string)) ([]Series, error) {
+// measureChanges measures the time until a publication is in force on all entries while the store is
+// available, by the number of entries.
+func measureChanges(ctx context.Context, progress func(string)) ([]Series, error) {
 	s := Series{Name: "in_force_by_nodes", X: "entries", Y: "milliseconds until the slowest entry, 95th of 20 publications"}
 	for _, n := range []int{3, 8, 16, 24} {
-		say(fmt.Sprintf("publications to %d entries", n))
-		slowest, err := spreadOf(ctx, n)
+		progress(fmt.Sprintf("publications to %d entries", n))
+		slowest, err := propagationTime(ctx, n)
 		if err != nil {
 			return nil, err
 		}
@@ -120,14 +120,14 @@
 	return []Series{s.fit()}, nil
 }
 
-func spreadOf(ctx context.Context, n int) (float64, error) {
+func propagationTime(ctx context.Context, n int) (float64, error) {
 	const publications = 20
-	l, err := lab(ctx, n, 0, nil)
+	l, err := startLab(ctx, n, 0, nil)
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = l.Close() }() // what was measured stands either way
-	if err := waitMet(ctx, l, n); err != nil {
+	defer func() { _ = l.Close() }() // the measurement does not depend on the shutdown
+	if err := waitConnected(ctx, l, n); err != nil {
 		return 0, err
 	}
 	var took []float64
@@ -153,7 +153,7 @@
 	for i := range n {
 		for l.Entry(i).Revision() < want {
 			if ctx.Err() != nil {
-				return fmt.Errorf("revision %d did not reach entry %d", want, i)
+				return fmt.Errorf("revision %d is not in force on entry %d", want, i)
 			}
 			pktimer.Sleep(ctx, time.Millisecond)
 		}
--- a/pkmeasure/datapath.go
+++ b/pkmeasure/datapath.go
@@ -20,21 +20,21 @@
 	"peridotknot.example/pkstandin"
 )
 
-// streamsAtOnce keeps the process busy without queues.
+// concurrentStreams keeps the process busy without queueing. sampleLayers is the number of layers of
+// the sample's model.
 const (
-	streamsAtOnce  = 48
-	layersOfSample = 32
+	concurrentStreams = 48
+	sampleLayers      = 32
 )
 
-// tokenTime is about the time between two tokens of a paced stream: long enough
-// that each token comes by itself and pays for its own reads and writes, as it
-// does behind real engines. Tokens that come in a rush share them and look
-// several times cheaper.
+// tokenTime is the approximate time between two tokens of a paced stream. It is long enough that each
+// token takes its own reads and writes, as with real engines. Tokens that arrive in bursts share
+// system calls and would show a lower cost.
 const tokenTime = 3 * time.Millisecond
 
-// quickStandins returns the sample's stand-ins with engines that take step for
-// a token and no time for a prompt, so that what is measured is the router.
-func quickStandins(perGroup int, step time.Duration) (pkstandin.Settings, error) {
+// fastStandins returns the sample's stand-ins with engines that take the time step per token and no
+// time for prefill.
+func fastStandins(perGroup int, step time.Duration) (pkstandin.Settings, error) {
 	raw, err := pksample.File("aare", pksample.FileStandins)
 	if err != nil {
 		return pkstandin.Settings{}, err
@@ -44,8 +44,8 @@
 		return s, err
 	}
 	for kind, speed := range s.Kinds {
-		speed.Base, speed.PerSeq, speed.Prefill = step/layersOfSample, 0, 0
-		speed.Batch = 4 * streamsAtOnce
+		speed.Base, speed.PerSeq, speed.Prefill = step/sampleLayers, 0, 0
+		speed.Batch = 4 * concurrentStreams
 		s.Kinds[kind] = speed
 	}
 	s.Link = 0
@@ -55,9 +55,9 @@
 	return s, nil
 }
 
-// lab starts a deployment for a measurement.
-func lab(ctx context.Context, entries int, step time.Duration, change func(*pklab.Options)) (*pklab.Lab, error) {
-	standins, err := quickStandins(2, step)
+// startLab starts a deployment for a measurement.
+func startLab(ctx context.Context, entries int, step time.Duration, change func(*pklab.Options)) (*pklab.Lab, error) {
+	standins, err := fastStandins(2, step)
 	if err != nil {
 		return nil, err
 	}
@@ -72,26 +72,26 @@
 	return pklab.Start(ctx, o)
 }
 
-// path is one way to run a stream of some tokens to its end.
-type path func(ctx context.Context, call, tokens int) error
+// streamFunc runs a stream with the given number of tokens to its end.
+type streamFunc func(ctx context.Context, call, tokens int) error
 
-// dataPath measures what a streamed answer costs the entry, by its tokens: the
-// slope is the cost of a token, the value at 0 that of a request.
-func dataPath(ctx context.Context, say func(string)) ([]Series, error) {
-	paced, err := dataPathAt(ctx, tokenTime, "entry_processor_time_by_tokens", say)
+// measureDataPath measures the processor time of the entry for a streamed response by its number of
+// tokens. The slope is the cost of a token, the value at 0 the fixed cost of a request.
+func measureDataPath(ctx context.Context, progress func(string)) ([]Series, error) {
+	paced, err := measureDataPathAt(ctx, tokenTime, "entry_processor_time_by_tokens", progress)
 	if err != nil {
 		return nil, err
 	}
-	rush, err := dataPathAt(ctx, 0, "entry_processor_time_by_tokens_in_a_rush", say)
-	return []Series{paced, rush}, err
+	burst, err := measureDataPathAt(ctx, 0, "entry_processor_time_by_tokens_in_a_rush", progress)
+	return []Series{paced, burst}, err
 }
 
-func dataPathAt(ctx context.Context, step time.Duration, name string, say func(string)) (Series, error) {
-	l, err := lab(ctx, 1, step, nil)
+func measureDataPathAt(ctx context.Context, step time.Duration, name string, progress func(string)) (Series, error) {
+	l, err := startLab(ctx, 1, step, nil)
 	if err != nil {
 		return Series{}, err
 	}
-	defer func() { _ = l.Close() }() // what was measured stands either way
+	defer func() { _ = l.Close() }() // the measurement does not depend on the shutdown
 	routed, err := routedPath(l)
 	if err != nil {
 		return Series{}, err
@@ -103,10 +103,10 @@
 	defer closeDirect()
 	s := Series{Name: name, X: "tokens of a streamed answer", Y: "microseconds of processor time a request"}
 	for _, tokens := range []int{16, 48, 96, 192} {
-		say(fmt.Sprintf("answers of %d tokens", tokens))
+		progress(fmt.Sprintf("answers of %d tokens", tokens))
 		const budget = 60_000
 		n := min(budget/tokens, 3000)
-		cost, err := difference(ctx, n, tokens, routed, direct)
+		cost, err := cpuDifference(ctx, n, tokens, routed, direct)
 		if err != nil {
 			return s, err
 		}
@@ -115,17 +115,17 @@
 	return s.fit(), nil
 }
 
-// difference returns the processor time of n requests through one path less
-// that of the other, in microseconds a request. The two are run in turn.
-func difference(ctx context.Context, n, tokens int, a, b path) (float64, error) {
+// cpuDifference returns the processor time of a minus that of b, in microseconds per request. Each
+// runs n requests, in alternating rounds.
+func cpuDifference(ctx context.Context, n, tokens int, a, b streamFunc) (float64, error) {
 	const rounds = 4
 	var sum time.Duration
 	for range rounds {
 		var errA, errB error
-		sum += spent(func() { errA = many(ctx, n/rounds, tokens, a) })
-		sum -= spent(func() { errB = many(ctx, n/rounds, tokens, b) })
+		sum += cpuTimeOf(func() { errA = runConcurrently(ctx, n/rounds, tokens, a) })
+		sum -= cpuTimeOf(func() { errB = runConcurrently(ctx, n/rounds, tokens, b) })
 		if errA != nil || errB != nil {
-			return 0, fmt.Errorf("measured path failed: %w", firstError(errA, errB))
+			return 0, fmt.Errorf("run measured requests: %w", firstError(errA, errB))
 		}
 	}
 	return float64(sum.Microseconds()) / float64(n/rounds*rounds), nil
@@ -140,12 +140,12 @@
 	return nil
 }
 
-func many(ctx context.Context, n, tokens int, do path) error {
+func runConcurrently(ctx context.Context, n, tokens int, do streamFunc) error {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var failed error
 	next := make(chan int)
-	for range streamsAtOnce {
+	for range concurrentStreams {
 		wg.Go(func() {
 			for call := range next {
 				if err := do(ctx, call, tokens); err != nil {
@@ -164,13 +164,13 @@
 	return failed
 }
 
-// routedPath streams through the entry.
-func routedPath(l *pklab.Lab) (path, error) {
+// routedPath returns a function that runs streams through the entry.
+func routedPath(l *pklab.Lab) (streamFunc, error) {
 	keys, err := pksample.Keys("aare")
 	if err != nil {
 		return nil, err
 	}
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: streamsAtOnce}}
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: concurrentStreams}}
 	url := "http://" + l.Addresses()[0].Callers + "/v1/chat/completions"
 	return func(ctx context.Context, call, tokens int) error {
 		body := fmt.Sprintf(`{"model":"budget-de","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"measure %d"}]}`, tokens, call)
@@ -183,8 +183,9 @@
 	}, nil
 }
 
-// directPath streams from a first engine of the pool, as an entry would.
-func directPath(ctx context.Context, l *pklab.Lab) (path, func(), error) {
+// directPath returns a function that runs streams directly on the first engine of a route, and a
+// function that closes its connections.
+func directPath(ctx context.Context, l *pklab.Lab) (streamFunc, func(), error) {
 	route, err := l.Route(ctx, "budget-de")
 	if err != nil {
 		return nil, nil, err
@@ -208,30 +209,30 @@
 	return do, transport.CloseIdleConnections, nil
 }
 
-func readLines(client *http.Client, req *http.Request, last func([]byte) bool) error {
+func readLines(client *http.Client, req *http.Request, isLast func([]byte) bool) error {
 	resp, err := client.Do(req)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, 300)) // the status already says that it failed
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, 300)) // the body is optional detail
 		return fmt.Errorf("status %d: %s", resp.StatusCode, text)
 	}
 	lines := bufio.NewScanner(resp.Body)
-	whole := false
-	said := ""
+	complete := false
+	lastLine := ""
 	for lines.Scan() {
-		whole = whole || last(lines.Bytes())
+		complete = complete || isLast(lines.Bytes())
 		if len(lines.Bytes()) > 0 {
-			said = lines.Text()
+			lastLine = lines.Text()
 		}
 	}
 	if err := cmp.Or(req.Context().Err(), lines.Err()); err != nil {
 		return err
 	}
-	if !whole {
-		return fmt.Errorf("the stream ended early, its last line was %q", said)
+	if !complete {
+		return fmt.Errorf("stream ended before its final event; last line: %q", lastLine)
 	}
 	return nil
 }
--- a/pkmeasure/doc.go
+++ b/pkmeasure/doc.go
@@ -1,10 +1,8 @@
-// Package pkmeasure measures what the router costs as one dimension grows, and
-// works the target size out from the slopes.
+// Package pkmeasure measures how the cost of the router scales and extrapolates it to the target size.
 //
-// Each Series varies one thing over several points and measures processor time,
-// bytes, memory or time for it. What the entry costs is the difference between
-// the same load through an entry and straight to the stand-ins in one run, so
-// that the caller's and the stand-ins' own work cancels out. Processor time is
-// the operating system's account of this process; the machine's other load
-// moves it little, unlike wall time.
+// Each Series varies one dimension over several points and measures processor time, bytes, memory or
+// latency, with a least-squares fit. The data-path cost of an entry is the difference between the same
+// load through the entry and directly on the stand-ins within one run, which cancels the work of the
+// caller and of the stand-ins. Processor time is the usage of this process as reported by the
+// operating system; unlike wall time, it depends little on other load on the machine.
 package pkmeasure
--- a/pkmeasure/plot.go
+++ b/pkmeasure/plot.go
@@ -12,10 +12,10 @@
 	plotPad      = 56.0
 )
 
-// Plot writes one SVG file a series into a folder.
+// Plot writes an SVG file per series into a folder, which is created if necessary.
 func Plot(folder string, all []Series) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return fmt.Errorf("make folder of plots: %w", err)
+		return fmt.Errorf("create plot folder: %w", err)
 	}
 	for _, s := range all {
 		if err := os.WriteFile(filepath.Join(folder, s.Name+".svg"), []byte(s.svg()), 0o644); err != nil {
--- a/pkmeasure/run.go
+++ b/pkmeasure/run.go
@@ -5,26 +5,26 @@
 	"fmt"
 )
 
-// Names lists what can be measured, in the order of a whole run.
+// Names lists the measurements in the order of a full run.
 var Names = []string{"replicas", "accounts", "datapath", "control", "changes"}
 
 var measurements = map[string]func(context.Context, func(string)) ([]Series, error){
-	"replicas": replicas,
-	"accounts": accounts,
-	"datapath": dataPath,
-	"control":  control,
-	"changes":  changes,
+	"replicas": measureReplicas,
+	"accounts": measureAccounts,
+	"datapath": measureDataPath,
+	"control":  measureControl,
+	"changes":  measureChanges,
 }
 
-// Run measures what is named; say is told what is being done.
-func Run(ctx context.Context, names []string, say func(string)) ([]Series, error) {
+// Run runs the named measurements. It reports each step to progress.
+func Run(ctx context.Context, names []string, progress func(string)) ([]Series, error) {
 	var out []Series
 	for _, name := range names {
 		measure, found := measurements[name]
 		if !found {
-			return nil, fmt.Errorf("there is no measurement %q; there are %v", name, Names)
+			return nil, fmt.Errorf("unknown measurement %q; available: %v", name, Names)
 		}
-		series, err := measure(ctx, say)
+		series, err := measure(ctx, progress)
 		if err != nil {
 			return nil, fmt.Errorf("measure %s: %w", name, err)
 		}
--- a/pkmeasure/series.go
+++ b/pkmeasure/series.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// Point is one measurement.
+// Point is a measured value Y at X.
 type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
 }
 
-// Series is one dimension varied, with the straight line that fits it best.
+// Series is a measurement over one varied dimension, with its linear fit.
 type Series struct {
 	Name   string  `json:"name"`
 	X      string  `json:"x"`
@@ -24,35 +24,34 @@
 	Points []Point `json:"points"`
 	Slope  float64 `json:"slope"`
 	At0    float64 `json:"at_0"`
-	// Residual is the largest distance of a point from the line, as a share
-	// of the largest value.
+	// Residual is the largest distance of a point from the line, relative to the largest value.
 	Residual float64 `json:"residual"`
 }
 
-// fit works the line out by least squares.
+// fit returns the series with its least-squares line.
 func (s Series) fit() Series {
 	n := float64(len(s.Points))
-	var sx, sy, sxx, sxy, most float64
+	var sx, sy, sxx, sxy, maxAbs float64
 	for _, p := range s.Points {
 		sx += p.X
 		sy += p.Y
 		sxx += p.X * p.X
 		sxy += p.X * p.Y
-		most = max(most, math.Abs(p.Y))
+		maxAbs = max(maxAbs, math.Abs(p.Y))
 	}
 	if d := n*sxx - sx*sx; d != 0 {
 		s.Slope = (n*sxy - sx*sy) / d
 	}
 	s.At0 = (sy - s.Slope*sx) / n
 	for _, p := range s.Points {
-		if most > 0 {
-			s.Residual = max(s.Residual, math.Abs(p.Y-s.at(p.X))/most)
+		if maxAbs > 0 {
+			s.Residual = max(s.Residual, math.Abs(p.Y-s.at(p.X))/maxAbs)
 		}
 	}
 	return s
 }
 
-// at returns the line's value at x.
+// at returns the value of the fitted line at x.
 func (s Series) at(x float64) float64 { return s.At0 + s.Slope*x }
 
 // Write writes series as JSON lines.
@@ -80,8 +79,8 @@
 	return out, in.Err()
 }
 
-// processorTime returns the processor time of this process so far.
-func processorTime() time.Duration {
+// cpuTime returns the processor time of this process, or 0 if it is not available.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -89,9 +88,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// spent returns the processor time that do takes.
-func spent(do func()) time.Duration {
-	before := processorTime()
+// cpuTimeOf returns the processor time of this process during do.
+func cpuTimeOf(do func()) time.Duration {
+	before := cpuTime()
 	do()
-	return processorTime() - before
+	return cpuTime() - before
 }
--- a/pkmeasure/state.go
+++ b/pkmeasure/state.go
@@ -17,9 +17,9 @@
 	"peridotknot.example/pktarget"
 )
 
-// perCall returns the processor time of one call of do in microseconds.
-func perCall(n int, do func()) float64 {
-	took := spent(func() {
+// cpuPerCall returns the mean processor time of n calls of do in microseconds.
+func cpuPerCall(n int, do func()) float64 {
+	took := cpuTimeOf(func() {
 		for range n {
 			do()
 		}
@@ -27,19 +27,19 @@
 	return float64(took.Nanoseconds()) / 1000 / float64(n)
 }
 
-// heapOf returns the bytes of heap that what make returns keeps.
-func heapOf[T any](fill func() T) (T, float64) {
+// retainedHeap returns the result of fill and the bytes of heap that it retains.
+func retainedHeap[T any](fill func() T) (T, float64) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	kept := fill()
+	value := fill()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	return kept, float64(after.HeapAlloc) - float64(before.HeapAlloc)
+	return value, float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// replicas measures what grows with the targets.
-func replicas(_ context.Context, say func(string)) ([]Series, error) {
+// measureReplicas measures the costs that grow with the number of targets.
+func measureReplicas(_ context.Context, progress func(string)) ([]Series, error) {
 	choose := Series{Name: "choose_by_replicas", X: "replicas", Y: "microseconds of processor time a choice of chain"}
 	plan := Series{Name: "plan_by_replicas", X: "replicas", Y: "microseconds of processor time a plan"}
 	apply := Series{Name: "vm_list_by_replicas", X: "replicas", Y: "microseconds of processor time a VM list"}
@@ -47,31 +47,31 @@
 	heap := Series{Name: "heap_by_replicas", X: "replicas", Y: "bytes of heap"}
 	now := time.Now()
 	for _, n := range []int{40, 500, 1500, 4500} {
-		say(fmt.Sprintf("%d replicas", n))
+		progress(fmt.Sprintf("%d replicas", n))
 		x := float64(n)
-		list := listOf(n)
+		list := makeVMList(n)
 		raw, err := json.Marshal(pkplatform.List{VMs: list})
 		if err != nil {
 			return nil, err
 		}
-		table, bytes := heapOf(func() *pktarget.Table { return tableOf(list, now) })
+		table, bytes := retainedHeap(func() *pktarget.Table { return makeTable(list, now) })
 		all := table.All()
-		want := pkroute.Want{Pool: "p", Model: "m", Version: "1", Layers: 32}
-		p := pkroute.NewPlan(want, all)
-		ask := pkroute.Ask{Now: now, Rand: rand.New(rand.NewPCG(1, 1))}
-		choose.Points = append(choose.Points, Point{x, perCall(20000, func() { _, err = p.Choose(ask) })})
+		spec := pkroute.Want{Pool: "p", Model: "m", Version: "1", Layers: 32}
+		p := pkroute.NewPlan(spec, all)
+		opts := pkroute.Ask{Now: now, Rand: rand.New(rand.NewPCG(1, 1))}
+		choose.Points = append(choose.Points, Point{x, cpuPerCall(20000, func() { _, err = p.Choose(opts) })})
 		if err != nil {
 			return nil, err
 		}
-		plan.Points = append(plan.Points, Point{x, perCall(50, func() { pkroute.NewPlan(want, all) })})
-		apply.Points = append(apply.Points, Point{x, perCall(20, func() { table.Apply(list) })})
+		plan.Points = append(plan.Points, Point{x, cpuPerCall(50, func() { pkroute.NewPlan(spec, all) })})
+		apply.Points = append(apply.Points, Point{x, cpuPerCall(20, func() { table.Apply(list) })})
 		size.Points = append(size.Points, Point{x, float64(len(raw))})
 		heap.Points = append(heap.Points, Point{x, bytes})
 	}
 	return []Series{choose.fit(), plan.fit(), apply.fit(), size.fit(), heap.fit()}, nil
 }
 
-func listOf(n int) []pktarget.Listed {
+func makeVMList(n int) []pktarget.Listed {
 	kinds := []pkid.Kind{"a", "b", "c", "d", "e"}
 	var out []pktarget.Listed
 	for i := range n {
@@ -81,30 +81,30 @@
 	return out
 }
 
-func tableOf(list []pktarget.Listed, now time.Time) *pktarget.Table {
+func makeTable(list []pktarget.Listed, now time.Time) *pktarget.Table {
 	t := &pktarget.Table{}
 	t.Apply(list)
-	for i, one := range t.All() {
+	for i, target := range t.All() {
 		first := pkid.Layer(i%4) * 8
-		one.Hold(pktarget.Holding{Model: "m", Version: "1", Range: pkid.Range{First: first, End: first + 8}})
+		target.Hold(pktarget.Holding{Model: "m", Version: "1", Range: pkid.Range{First: first, End: first + 8}})
 		step := time.Duration(1+i%5) * time.Millisecond
-		one.Observe(pktarget.Report{MaxBatch: 16, Step: step, PerSeq: step / 16}, now)
+		target.Observe(pktarget.Report{MaxBatch: 16, Step: step, PerSeq: step / 16}, now)
 	}
 	return t
 }
 
-// accounts measures what grows with the client accounts.
-func accounts(_ context.Context, say func(string)) ([]Series, error) {
+// measureAccounts measures the costs that grow with the number of client accounts.
+func measureAccounts(_ context.Context, progress func(string)) ([]Series, error) {
 	admit := Series{Name: "admission_by_accounts", X: "accounts that wait at once", Y: "microseconds of processor time an admission"}
 	adopt := Series{Name: "manifest_by_accounts", X: "accounts", Y: "microseconds of processor time a manifest"}
 	size := Series{Name: "manifest_bytes_by_accounts", X: "accounts", Y: "bytes a manifest"}
 	packed := Series{Name: "manifest_packed_bytes_by_accounts", X: "accounts", Y: "bytes a manifest as it travels"}
 	for _, n := range []int{10, 50, 150, 440} {
-		say(fmt.Sprintf("%d accounts", n))
+		progress(fmt.Sprintf("%d accounts", n))
 		x := float64(n)
-		body := manifestOf(n)
+		body := makeManifest(n)
 		var err error
-		adopt.Points = append(adopt.Points, Point{x, perCall(10, func() {
+		adopt.Points = append(adopt.Points, Point{x, cpuPerCall(10, func() {
 			var m pkmanifest.Manifest
 			m, err = pkmanifest.Parse("measured", body)
 			pkmanifest.NewView(m, 1, pkmanifest.DigestOf(body))
@@ -113,19 +113,19 @@
 			return nil, err
 		}
 		size.Points = append(size.Points, Point{x, float64(len(body))})
-		small, err := pkhead.Pack(body)
+		compressed, err := pkhead.Pack(body)
 		if err != nil {
 			return nil, err
 		}
-		packed.Points = append(packed.Points, Point{x, float64(len(small))})
-		admit.Points = append(admit.Points, Point{x, admissionOf(n)})
+		packed.Points = append(packed.Points, Point{x, float64(len(compressed))})
+		admit.Points = append(admit.Points, Point{x, admissionCost(n)})
 	}
 	return []Series{admit.fit(), adopt.fit(), size.fit(), packed.fit()}, nil
 }
 
-// admissionOf keeps one request of each account waiting and measures an entry
-// with its leave.
-func admissionOf(n int) float64 {
+// admissionCost returns the processor time of admitting and releasing a request in microseconds, while
+// one request of each account is waiting.
+func admissionCost(n int) float64 {
 	now := time.Now()
 	g := pkadmit.NewGate(pkadmit.DefaultOptions(), 1)
 	ask := func(i int) pkadmit.Ask {
@@ -138,7 +138,7 @@
 		}
 	}
 	i := 0
-	return perCall(5000, func() {
+	return cpuPerCall(5000, func() {
 		for at, t := range waiting {
 			select {
 			case <-t.Ready():
@@ -156,7 +156,7 @@
 	})
 }
 
-func manifestOf(n int) []byte {
+func makeManifest(n int) []byte {
 	body := []byte(`schema: 1
 name: measured
 limits: {default_deadline: 20s, max_deadline: 60s, max_body: 1000, max_prompt_tokens: 10, max_output_tokens: 10}
@@ -167,8 +167,8 @@
 	}
 	body = append(body, "services: []\naccounts:\n"...)
 	for i := range n {
-		_, kept := pkmanifest.NewKey()
-		body = fmt.Appendf(body, "  - {id: a%d, weight: 1, max_in_flight: 10, keys: [{id: %s, salt: %s, hash: %s}], models: [m%d]}\n", i, kept.ID, kept.Salt, kept.Hash, i%27)
+		_, storedKey := pkmanifest.NewKey()
+		body = fmt.Appendf(body, "  - {id: a%d, weight: 1, max_in_flight: 10, keys: [{id: %s, salt: %s, hash: %s}], models: [m%d]}\n", i, storedKey.ID, storedKey.Salt, storedKey.Hash, i%27)
 	}
 	return body
 }
--- a/pkmeasure/table.go
+++ b/pkmeasure/table.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// The target size, as the users state it.
+// The target size and its limits, from the requirements.
 const (
 	targetNodes    = 380.0
 	targetReplicas = 4500.0
@@ -13,33 +13,33 @@
 	targetTokens   = 5.5e6
 	targetAccounts = 440.0
 
-	targetCenters    = 17.0
-	targetChanges    = 9400.0
-	targetInForce    = 18.0
-	limitProcessor   = 0.045
-	limitMemory      = 256e6
-	limitBytes       = 20_000.0
-	storeReads       = 2000.0
-	secondsADay      = 86_400.0
-	replacementsADay = 74.0 + 530.0
+	targetCenters      = 17.0
+	changesPerDay      = 9400.0
+	limitInForce       = 18.0
+	limitProcessor     = 0.045
+	limitMemory        = 256e6
+	limitBytes         = 20_000.0
+	limitStoreCalls    = 2000.0
+	secondsPerDay      = 86_400.0
+	replacementsPerDay = 74.0 + 530.0
 
-	// How the design splits that size.
-	perCenter     = targetNodes / targetCenters
-	farLinks      = 2.0
-	links         = perCenter - 1 + farLinks*(targetCenters-1)
-	watchersEach  = 2.0
-	rereadWatcher = 10.0
-	rereadOther   = 30.0
-	renewEvery    = 10.0
-	sendBudget    = 10_000.0
+	// Values that follow from the design.
+	nodesPerCenter       = targetNodes / targetCenters
+	linksPerRemoteCenter = 2.0
+	linksPerNode         = nodesPerCenter - 1 + linksPerRemoteCenter*(targetCenters-1)
+	watchersPerCenter    = 2.0
+	watcherRereadSeconds = 10.0
+	otherRereadSeconds   = 30.0
+	leaseRenewSeconds    = 10.0
+	sendBudget           = 10_000.0
 )
 
-// row is one line of the capacity table.
+// row is a row of the capacity table.
 type row struct {
 	what, mechanism, formula string
 	figure, limit            float64
 	unit                     string
-	// note replaces the verdict where a limit does not decide it.
+	// note replaces the verdict if the limit does not determine it.
 	note string
 }
 
@@ -61,13 +61,12 @@
 	return fmt.Sprintf("%.1fx", r.limit/r.figure)
 }
 
-// series gives the measured lines by name.
-type lines map[string]Series
+type seriesByName map[string]Series
 
-// Table returns the capacity table in Markdown, worked out from measured
-// series.
+// Table returns the capacity table in Markdown, computed from measured series. It fails if a required
+// series is missing.
 func Table(all []Series) (string, error) {
-	l := lines{}
+	l := seriesByName{}
 	for _, s := range all {
 		l[s.Name] = s
 	}
@@ -77,7 +76,7 @@
 		"control_sent_by_nodes", "heap_by_nodes", "in_force_by_nodes", "store_calls_by_nodes",
 	} {
 		if _, found := l[name]; !found {
-			return "", fmt.Errorf("the series %s is missing: measure all", name)
+			return "", fmt.Errorf("series %s is missing: run all measurements", name)
 		}
 	}
 	var b strings.Builder
@@ -109,19 +108,19 @@
 	return strings.Join(out, ", ")
 }
 
-func (l lines) dataRows() []row {
-	path := l["entry_processor_time_by_tokens"]
+func (l seriesByName) dataRows() []row {
+	dataPath := l["entry_processor_time_by_tokens"]
 	tokens := targetTokens / targetNodes
 	requests := targetRequests / targetNodes
 	return []row{
 		{
 			"5.5 M tokens/s, a token", "the handler reads an engine's event and writes the caller's; one hop in the entry", "slope of entry_processor_time_by_tokens",
-			path.Slope, 15, "us", "",
+			dataPath.Slope, 15, "us", "",
 		},
-		{"15,000 requests/s, a request besides its tokens", "decode, account, admission, choice, one connection each way", "value at 0 of entry_processor_time_by_tokens", path.At0, 250, "us", ""},
+		{"15,000 requests/s, a request besides its tokens", "decode, account, admission, choice, one connection each way", "value at 0 of entry_processor_time_by_tokens", dataPath.At0, 250, "us", ""},
 		{
 			"cores of an entry at the peak", "all entries alike; the balancer spreads", fmt.Sprintf("(%.0f tokens/s x slope + %.1f requests/s x value at 0) / 10^6", tokens, requests),
-			(tokens*path.Slope + requests*path.At0) / 1e6, 0, "cores", "sizes the VM: no limit is stated for the data path",
+			(tokens*dataPath.Slope + requests*dataPath.At0) / 1e6, 0, "cores", "sizes the VM: no limit is stated for the data path",
 		},
 		{
 			"p95 first token 0.46 s, 29 ms between tokens", "choice by corrected load and links", "benchmark and replay, see below",
@@ -130,16 +129,16 @@
 	}
 }
 
-func (l lines) controlRows() []row {
-	neighbors := perCenter
+func (l seriesByName) controlRows() []row {
+	neighbors := nodesPerCenter
 	processor := l["control_processor_share_by_nodes"].at(neighbors)
-	list := l["vm_list_by_replicas"].at(targetReplicas) / 1e6 * replacementsADay / secondsADay
-	adopt := l["manifest_by_accounts"].at(targetAccounts) / 1e6 * targetChanges / secondsADay
+	list := l["vm_list_by_replicas"].at(targetReplicas) / 1e6 * replacementsPerDay / secondsPerDay
+	adopt := l["manifest_by_accounts"].at(targetAccounts) / 1e6 * changesPerDay / secondsPerDay
 	manifest := l["manifest_bytes_by_accounts"].at(targetAccounts)
-	travels := l["manifest_packed_bytes_by_accounts"].at(targetAccounts)
+	packed := l["manifest_packed_bytes_by_accounts"].at(targetAccounts)
 	listBytes := l["vm_list_bytes_by_replicas"].at(targetReplicas)
-	sent := min(l["control_sent_by_nodes"].Slope*links, sendBudget)
-	perNode := storeCalls()
+	sent := min(l["control_sent_by_nodes"].Slope*linksPerNode, sendBudget)
+	calls := storeCalls()
 	return []row{
 		{
 			"380 nodes, 4.5% of a core", "polling split by rendezvous hashing; shares paced by a budget", "control_processor_share_by_nodes at 22 nodes + VM lists + manifests a day",
@@ -148,7 +147,7 @@
 		{"20 KB/s sent, shares with peers", "detail in the data centre, 2 links to each other one", "min(slope of control_sent_by_nodes x 53 links, the budget)", sent, limitBytes, "B/s", ""},
 		{
 			"20 KB/s received: shares, manifests, VM lists", "each body once a node, the VM list only when its tag changed",
-			"budget + packed manifest bytes x 9,400/day + VM list bytes x 604/day", sendBudget + travels*targetChanges/secondsADay + listBytes*replacementsADay/secondsADay,
+			"budget + packed manifest bytes x 9,400/day + VM list bytes x 604/day", sendBudget + packed*changesPerDay/secondsPerDay + listBytes*replacementsPerDay/secondsPerDay,
 			limitBytes, "B/s", "",
 		},
 		{
@@ -157,19 +156,19 @@
 		},
 		{
 			"9,400 changes a day in force in 18 s", "head watched by 2 nodes a data centre; shares pushed at once to 53 links", "in_force_by_nodes at 380, as if all were neighbors",
-			l["in_force_by_nodes"].at(targetNodes) / 1000, targetInForce, "s", "",
+			l["in_force_by_nodes"].at(targetNodes) / 1000, limitInForce, "s", "",
 		},
 		{
 			"calls on the key-value service", "2 watches a data centre, rereads, one lease a node", "34 watches + 34 x 2/10 s + 346/30 s + 380/10 s + 9,400/day x 34 x 2",
-			perNode, storeReads, "calls/s", "",
+			calls, limitStoreCalls, "calls/s", "",
 		},
-		{"74 failures and 530 replacements a day", "hello to a seed or one list of the store; manifest from peers", "604 x 4 calls a day on the store", replacementsADay * 4 / secondsADay, storeReads, "calls/s", ""},
+		{"74 failures and 530 replacements a day", "hello to a seed or one list of the store; manifest from peers", "604 x 4 calls a day on the store", replacementsPerDay * 4 / secondsPerDay, limitStoreCalls, "calls/s", ""},
 		{
 			"VM list at the target size", "conditional reads twice a second", "vm_list_bytes_by_replicas at 4,500 x 604/day",
-			listBytes * replacementsADay / secondsADay, limitBytes, "B/s", "",
+			listBytes * replacementsPerDay / secondsPerDay, limitBytes, "B/s", "",
 		},
 		{
-			"loads of 4,500 replicas, 265 a data centre", "each node polls those that rendezvous hashing gives it", "265 / 22 nodes x 5/s", 265 / perCenter * 5, 0, "calls/s a node",
+			"loads of 4,500 replicas, 265 a data centre", "each node polls those that rendezvous hashing gives it", "265 / 22 nodes x 5/s", 265 / nodesPerCenter * 5, 0, "calls/s a node",
 			"inside the measured share of a core; a data centre's nodes poll only their own: not built, every node still lists all",
 		},
 		{
@@ -182,17 +181,17 @@
 	}
 }
 
-// storeCalls returns the calls a second on the key-value service at the target
-// size, each waiting watch counted as one call.
+// storeCalls returns the calls per second on the key-value service at the target size. A watch counts
+// as one call.
 func storeCalls() float64 {
-	watching := watchersEach * targetCenters
-	others := targetNodes - watching
-	rereads := watching*2/rereadWatcher + others/rereadOther
-	bodies := targetChanges / secondsADay * watching * 2
-	return watching + rereads + targetNodes/renewEvery + bodies
+	watchers := watchersPerCenter * targetCenters
+	others := targetNodes - watchers
+	rereads := watchers*2/watcherRereadSeconds + others/otherRereadSeconds
+	bodyReads := changesPerDay / secondsPerDay * watchers * 2
+	return watchers + rereads + targetNodes/leaseRenewSeconds + bodyReads
 }
 
-func (l lines) stateRows() []row {
+func (l seriesByName) stateRows() []row {
 	return []row{
 		{
 			"4,500 replicas, 18,000 accelerators: a choice", "draws by rate, cheapest path through those drawn; accelerators count inside their replica",
@@ -201,6 +200,6 @@
 		{"440 accounts that all wait: an admission", "virtual time an account", "admission_by_accounts at 440", l["admission_by_accounts"].at(targetAccounts), 100, "us", ""},
 		{"27 models", "one plan a model and adapter, made again when targets change", "plan_by_replicas slope x 4,500", l["plan_by_replicas"].Slope * targetReplicas, 0, "us", "604 a day: nothing"},
 		{"5 kinds of accelerators, links 100x apart", "kinds by their reported step times, links by the settings' matrix", "part of a choice", l["choose_by_replicas"].at(targetReplicas), 20, "us", ""},
-		{"7 regions, 17 data centres: links of a node", "21 neighbors + 2 x 16", "connections a node dials", links, 0, "links", "bounded by 54 whatever the fleet's size"},
+		{"7 regions, 17 data centres: links of a node", "21 neighbors + 2 x 16", "connections a node dials", linksPerNode, 0, "links", "bounded by 54 whatever the fleet's size"},
 	}
 }
--- a/pkmeasure/table_test.go
+++ b/pkmeasure/table_test.go
@@ -9,9 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// The page's figures are worked out from committed results. If one is changed
-// without the other, readers plan for a system that was never measured.
-func TestCapacityPageMatchesTheResults(t *testing.T) {
+// The table of the capacity page must match the committed measurements.
+func TestCapacityPageMatchesMeasurements(t *testing.T) {
 	raw, err := os.ReadFile("../docs/measured.jsonl")
 	assert.NilError(t, err)
 	series, err := Read(bytes.NewReader(raw))
@@ -21,7 +20,7 @@
 	page, err := os.ReadFile("../docs/CAPACITY.md")
 	assert.NilError(t, err)
 	assert.Assert(t, strings.Contains(string(page), table),
-		"docs/CAPACITY.md does not hold what 'peridotknot measure --table docs/measured.jsonl' prints")
+		"docs/CAPACITY.md does not contain the output of 'peridotknot measure --table docs/measured.jsonl'")
 }
 
 func TestFit(t *testing.T) {
@@ -29,11 +28,11 @@
 	assert.Equal(t, s.Slope, 2.0)
 	assert.Equal(t, s.At0, 3.0)
 	assert.Equal(t, s.Residual, 0.0)
-	bent := Series{Points: []Point{{1, 1}, {2, 4}, {3, 9}, {4, 16}}}.fit()
-	assert.Assert(t, bent.Residual > 0.05)
+	nonlinear := Series{Points: []Point{{1, 1}, {2, 4}, {3, 9}, {4, 16}}}.fit()
+	assert.Assert(t, nonlinear.Residual > 0.05)
 }
 
-func TestTableNamesWhatIsMissing(t *testing.T) {
+func TestTableReportsMissingSeries(t *testing.T) {
 	_, err := Table(nil)
 	assert.ErrorContains(t, err, "is missing")
 }
