--- a/pkhead/adopt.go
+++ b/pkhead/adopt.go
@@ -5,32 +5,33 @@
 	"peridotknot.example/pkmanifest"
 )
 
-// Adoption says what a VM does with a manifest that it is offered.
+// Adoption is what a VM does with a manifest received from the store or a peer.
 type Adoption uint8
 
 // Adoptions.
 const (
-	// Adopt puts the offered manifest in force.
+	// Adopt means that the received manifest replaces the one in force.
 	Adopt Adoption = iota
-	// Same means that it is in force already.
+	// Same means that the received manifest is already in force.
 	Same
-	// Older means that the offer is behind what is in force. From the store
-	// this is an alarm: it was restored from an older copy.
+	// Older means that the received manifest has a lower revision than the one
+	// in force. If it comes from the store, the store was restored from an older
+	// copy, and an alarm is raised.
 	Older
-	// Conflict means that one revision has two digests: two stores, or one
-	// that lost an accepted write and accepted another in its place.
+	// Conflict means that one revision has two digests: there are two stores, or
+	// the store lost an accepted write and accepted another one instead.
 	Conflict
 )
 
-// Consider decides on an offer. What is in force never goes back, because an
-// accepted manifest that reverts would serve accounts that it took away.
-func Consider(rev pkid.Revision, digest pkmanifest.Digest, offerRev pkid.Revision, offerDigest pkmanifest.Digest) Adoption {
+// Consider compares a received manifest with the one in force. A lower revision is
+// never adopted, since it would restore accounts that have been removed.
+func Consider(rev pkid.Revision, digest pkmanifest.Digest, newRev pkid.Revision, newDigest pkmanifest.Digest) Adoption {
 	switch {
-	case offerRev > rev:
+	case newRev > rev:
 		return Adopt
-	case offerRev < rev:
+	case newRev < rev:
 		return Older
-	case offerDigest == digest:
+	case newDigest == digest:
 		return Same
 	default:
 		return Conflict
--- a/pkhead/head.go
+++ b/pkhead/head.go
@@ -19,16 +19,16 @@
 )
 
 const (
-	// chunkSize leaves room below the store's limit of a megabyte.
+	// chunkSize is in bytes and stays below the store's value limit of 1 MB.
 	chunkSize = 512 << 10
-	// keepRecent is how many publications a head remembers, so that an
-	// operator whose answer was lost still finds it after others published.
-	keepRecent = 64
-	// genesis is the value of a head before the first publication.
-	genesis = "{}"
+	// maxRecent is how many earlier publications a head lists, so that an
+	// operator whose response was lost can find the outcome after later ones.
+	maxRecent = 64
+	// emptyHead is the value of the head key before the first publication.
+	emptyHead = "{}"
 )
 
-// PublishID names one attempt of an operator to publish.
+// PublishID identifies one attempt of an operator to publish a manifest.
 type PublishID string
 
 // Publication is one accepted manifest.
@@ -41,14 +41,14 @@
 	Chunks   []string          `json:"chunks"`
 }
 
-// Head names the manifest in force and the ones before it.
+// Head is the publication in force and the ones before it.
 type Head struct {
 	Publication
-	// Recent holds earlier publications, the latest first.
+	// Recent lists earlier publications, newest first.
 	Recent []Publication `json:"recent,omitempty"`
 }
 
-// Find returns the publication with id, if the head still knows it.
+// Find returns the publication with the given id, if the head still lists it.
 func (h Head) Find(id PublishID) (Publication, bool) {
 	if h.ID == id {
 		return h.Publication, true
@@ -61,7 +61,7 @@
 	return Publication{}, false
 }
 
-// At returns the publication with a revision, if the head still knows it.
+// At returns the publication with the given revision, if the head still lists it.
 func (h Head) At(rev pkid.Revision) (Publication, bool) {
 	if h.Revision == rev {
 		return h.Publication, true
@@ -74,20 +74,21 @@
 	return Publication{}, false
 }
 
-func (h Head) with(p Publication) Head {
+func (h Head) withPublication(p Publication) Head {
 	next := Head{Publication: p}
 	if h.Revision > 0 {
 		next.Recent = append(next.Recent, h.Publication)
 		next.Recent = append(next.Recent, h.Recent...)
 	}
-	next.Recent = next.Recent[:min(len(next.Recent), keepRecent)]
+	next.Recent = next.Recent[:min(len(next.Recent), maxRecent)]
 	return next
 }
 
-// ErrNoHead says that nothing was published yet.
-var ErrNoHead = errors.New("no manifest was published yet")
+// ErrNoHead is returned when no manifest has been published.
+var ErrNoHead = errors.New("no manifest has been published")
 
-// Read returns the head and the store revision of its key.
+// Read returns the head and the store revision of its key, both zero if the key
+// does not exist.
 func Read(ctx context.Context, s pkstore.Store) (Head, pkstore.Revision, error) {
 	item, err := s.Load(ctx, HeadKey)
 	if err != nil {
@@ -100,22 +101,22 @@
 	return h, item.Revision, err
 }
 
-// Decode reads a head's value.
+// Decode decodes the value of the head key; the empty head decodes to the zero Head.
 func Decode(value []byte) (Head, error) {
 	var h Head
 	if err := json.Unmarshal(value, &h); err != nil {
-		return Head{}, fmt.Errorf("the head is not readable: %w", err)
+		return Head{}, fmt.Errorf("decode head: %w", err)
 	}
 	if h.Revision == 0 {
 		return Head{}, nil
 	}
 	if h.Digest == "" || len(h.Chunks) == 0 {
-		return Head{}, errors.New("the head names no digest or chunks")
+		return Head{}, errors.New("head has no digest or no chunks")
 	}
 	return h, nil
 }
 
-// Body returns the body of a publication, checked against its digest.
+// Body returns the body of a publication after verifying its digest.
 func Body(ctx context.Context, s pkstore.Store, p Publication) ([]byte, error) {
 	var packed []byte
 	for _, name := range p.Chunks {
@@ -124,7 +125,7 @@
 			return nil, err
 		}
 		if item.Revision == 0 {
-			return nil, fmt.Errorf("chunk %s of revision %d is missing", name, p.Revision)
+			return nil, fmt.Errorf("chunk %s of revision %d not found", name, p.Revision)
 		}
 		packed = append(packed, item.Value...)
 	}
@@ -133,12 +134,13 @@
 		return nil, fmt.Errorf("revision %d: %w", p.Revision, err)
 	}
 	if got := pkmanifest.DigestOf(body); got != p.Digest {
-		return nil, fmt.Errorf("the body of revision %d has digest %s, its head says %s", p.Revision, got, p.Digest)
+		return nil, fmt.Errorf("body of revision %d has digest %s, expected %s", p.Revision, got, p.Digest)
 	}
 	return body, nil
 }
 
-// putChunks stores the body's chunks; one that is there already is left.
+// putChunks stores the packed body in chunks and returns their names; existing
+// chunks are not rewritten.
 func putChunks(ctx context.Context, s pkstore.Store, body []byte) ([]string, error) {
 	packed, err := Pack(body)
 	if err != nil {
@@ -146,25 +148,25 @@
 	}
 	var names []string
 	for len(packed) > 0 {
-		part := packed[:min(len(packed), chunkSize)]
-		packed = packed[len(part):]
-		name := string(pkmanifest.DigestOf(part))
+		chunk := packed[:min(len(packed), chunkSize)]
+		packed = packed[len(chunk):]
+		name := string(pkmanifest.DigestOf(chunk))
 		names = append(names, name)
-		if err := putChunk(ctx, s, name, part); err != nil {
+		if err := putChunk(ctx, s, name, chunk); err != nil {
 			return nil, fmt.Errorf("store chunk %s: %w", name, err)
 		}
 	}
 	return names, nil
 }
 
-// chunkTries is how often a chunk is written when the answer is lost. Its name
-// is its digest, so writing it twice is the same as once.
-const chunkTries = 3
+// maxChunkAttempts bounds the attempts to write a chunk. A retry is idempotent,
+// since the name of a chunk is its digest.
+const maxChunkAttempts = 3
 
-func putChunk(ctx context.Context, s pkstore.Store, name string, part []byte) error {
+func putChunk(ctx context.Context, s pkstore.Store, name string, chunk []byte) error {
 	var err error
-	for range chunkTries {
-		if _, err = s.Swap(ctx, pkstore.Swap{Key: chunkPrefix + name, Value: part}); err == nil {
+	for range maxChunkAttempts {
+		if _, err = s.Swap(ctx, pkstore.Swap{Key: chunkPrefix + name, Value: chunk}); err == nil {
 			return nil
 		}
 	}
--- a/pkhead/pack.go
+++ b/pkhead/pack.go
@@ -8,14 +8,14 @@
 	"io"
 )
 
-// maxBody bounds a manifest's body; a packed one that grows beyond it is
-// hostile.
+// maxBody bounds the unpacked body of a manifest in bytes, as a protection against
+// decompression bombs.
 const maxBody = 64 << 20
 
-var errTooLarge = errors.New("the manifest's body is too large")
+var errTooLarge = errors.New("manifest body exceeds the limit of 64 MiB")
 
-// Pack compresses a body for the store and for peers. Most of a large manifest
-// is keys and names that repeat, and every change sends all of it to every VM.
+// Pack compresses a body for the store and for peers. Every change of the manifest
+// is sent whole to every VM.
 func Pack(body []byte) ([]byte, error) {
 	var out bytes.Buffer
 	w := gzip.NewWriter(&out)
--- a/pkhead/publish.go
+++ b/pkhead/publish.go
@@ -10,25 +10,27 @@
 	"peridotknot.example/pkstore"
 )
 
-// Result says what became of a publication.
+// Result is the result of an attempt to publish.
 type Result uint8
 
 // Results of a publication.
 const (
-	// Unknown means that the store could not be asked; it may be settled later.
+	// Unknown means that the store could not be read; the outcome can be
+	// determined later.
 	Unknown Result = iota
-	// Accepted means that the manifest was in force.
+	// Accepted means that the manifest has been in force.
 	Accepted
-	// Refused means that it was not and never will be.
+	// Refused means that the manifest has not been in force and cannot come into
+	// force any more.
 	Refused
 )
 
-// String returns the result as the client prints it.
+// String returns the name of the result.
 func (r Result) String() string {
 	return [...]string{"unknown", "accepted", "refused"}[r]
 }
 
-// Outcome is the result of a publication and the head it was decided by.
+// Outcome is the result of a publication and the head that it was derived from.
 type Outcome struct {
 	Result Result
 	Head   Head
@@ -40,27 +42,27 @@
 	Operator string
 	Name     string
 	Body     []byte
-	// Base is the revision that the operator's change was made from; zero
-	// takes the head as it is found.
+	// Base is the revision that the operator's change is based on; zero accepts
+	// any current revision.
 	Base pkid.Revision
 }
 
-// Publish moves the head to d. An Outcome of Unknown comes with the error that
-// kept it from being settled.
+// Publish stores the body of d and updates the head to it. If the result is
+// Unknown, the error says why it could not be determined.
 func Publish(ctx context.Context, s pkstore.Store, d Draft) (Outcome, error) {
 	chunks, err := putChunks(ctx, s, d.Body)
 	if err != nil {
-		// Chunks alone put nothing in force.
+		// Chunks have no effect until a head lists them.
 		return Outcome{Result: Refused}, err
 	}
-	head, at, err := begin(ctx, s)
+	head, rev, err := ensureHead(ctx, s)
 	if err != nil {
 		return Outcome{Result: Refused}, err
 	}
 	if d.Base != 0 && d.Base != head.Revision {
 		return Outcome{Result: Refused, Head: head}, nil
 	}
-	next := head.with(Publication{
+	next := head.withPublication(Publication{
 		Revision: head.Revision + 1,
 		ID:       d.ID,
 		Operator: d.Operator,
@@ -72,27 +74,27 @@
 	if err != nil {
 		return Outcome{Result: Refused}, fmt.Errorf("encode head: %w", err)
 	}
-	swapped, err := s.Swap(ctx, pkstore.Swap{Key: HeadKey, Old: at, Value: value})
+	swapped, err := s.Swap(ctx, pkstore.Swap{Key: HeadKey, Old: rev, Value: value})
 	if err != nil {
 		return Settle(ctx, s, d.ID)
 	}
 	if swapped.Done {
 		return Outcome{Result: Accepted, Head: next}, nil
 	}
-	// The client's own library may have sent the write twice, so the winner
-	// can be this very publication.
-	return judge(swapped.Item, d.ID)
+	// The HTTP client may have retried the write, so the stored head can already
+	// contain this publication.
+	return outcomeOf(swapped.Item, d.ID)
 }
 
-// begin reads the head and writes an empty one where there is none. A lost
-// write can only be made to fail by rewriting its key, so the key must exist
-// before the first publication is sent.
-func begin(ctx context.Context, s pkstore.Store) (Head, pkstore.Revision, error) {
-	head, at, err := Read(ctx, s)
-	if err != nil || at != 0 {
-		return head, at, err
-	}
-	swapped, err := s.Swap(ctx, pkstore.Swap{Key: HeadKey, Value: []byte(genesis)})
+// ensureHead reads the head and creates an empty one if there is none. The key must
+// exist before the first publication is sent: a lost write is made to fail by
+// rewriting its key.
+func ensureHead(ctx context.Context, s pkstore.Store) (Head, pkstore.Revision, error) {
+	head, rev, err := Read(ctx, s)
+	if err != nil || rev != 0 {
+		return head, rev, err
+	}
+	swapped, err := s.Swap(ctx, pkstore.Swap{Key: HeadKey, Value: []byte(emptyHead)})
 	if err != nil {
 		return Head{}, 0, err
 	}
@@ -100,36 +102,37 @@
 	return head, swapped.Item.Revision, err
 }
 
-// Settle finds out what became of a publication whose answer was lost. When
-// it returns Refused, the lost write can no longer take effect.
+// Settle determines the outcome of a publication whose response was lost. After it
+// has returned Refused, the lost write can no longer take effect.
 func Settle(ctx context.Context, s pkstore.Store, id PublishID) (Outcome, error) {
 	item, err := s.Load(ctx, HeadKey)
 	if err != nil {
 		return Outcome{}, err
 	}
-	out, err := judge(item, id)
+	out, err := outcomeOf(item, id)
 	if err != nil || out.Result == Accepted {
 		return out, err
 	}
-	// The lost write compares with a store revision that it saw. Rewriting
-	// the head as it stands gives the key a new one, whether or not the write
-	// is still on its way.
-	touch := pkstore.Swap{Key: HeadKey, Old: item.Revision, Value: item.Value}
+	// The lost write expects the store revision that it was sent with. Rewriting
+	// the head unchanged gives the key a new revision, so that the write fails if
+	// it is still in flight.
+	rewrite := pkstore.Swap{Key: HeadKey, Old: item.Revision, Value: item.Value}
 	if item.Revision == 0 {
-		touch.Value = []byte(genesis)
+		rewrite.Value = []byte(emptyHead)
 	}
-	swapped, err := s.Swap(ctx, touch)
+	swapped, err := s.Swap(ctx, rewrite)
 	if err != nil {
 		return Outcome{}, err
 	}
 	if swapped.Done {
 		return out, nil
 	}
-	return judge(swapped.Item, id)
+	return outcomeOf(swapped.Item, id)
 }
 
-// judge reads what an item of the head key says of a publication.
-func judge(item pkstore.Item, id PublishID) (Outcome, error) {
+// outcomeOf returns the outcome of publication id according to an item of the head
+// key.
+func outcomeOf(item pkstore.Item, id PublishID) (Outcome, error) {
 	if item.Revision == 0 {
 		return Outcome{Result: Refused}, nil
 	}
--- a/pkhead/publish_test.go
+++ b/pkhead/publish_test.go
@@ -25,10 +25,9 @@
 	return out
 }
 
-// Two operators publish at nearly the same moment. Both read the same head;
-// one moves it first. The other must be told who won, and its manifest must
-// never come into force, not even in part.
-func TestRacingOperators(t *testing.T) {
+// Two operators publish from the same head. The one whose write comes second must
+// get Refused with the head of the other, and its manifest must not come into force.
+func TestConcurrentPublishers(t *testing.T) {
 	s := pkcontract.NewMemory()
 	publish(t, s, draft("base", "0"))
 	raced := false
@@ -47,19 +46,18 @@
 	assert.Equal(t, uint64(head.Revision), uint64(2))
 }
 
-// The answer to the write of the head is lost. The write happened, or it did
-// not happen, or it happens later, after the operator was told. In each case
-// what the operator is told must be true for good.
-func TestLostAnswers(t *testing.T) {
+// The response to the write of the head is lost. Whether the write took effect, did
+// not, or arrives only later, the result that the operator got must stay true.
+func TestLostResponses(t *testing.T) {
 	cases := map[string]struct {
 		before, after bool
 		late          bool
 		want          Result
 	}{
-		"the write happened":        {after: true, want: Accepted},
-		"the write did not happen":  {before: true, want: Refused},
-		"the write comes up late":   {before: true, late: true, want: Refused},
-		"no answer was lost at all": {want: Accepted},
+		"write took effect":  {after: true, want: Accepted},
+		"write was dropped":  {before: true, want: Refused},
+		"write arrives late": {before: true, late: true, want: Refused},
+		"no response lost":   {want: Accepted},
 	}
 	for name, c := range cases {
 		for _, fresh := range []bool{true, false} {
@@ -68,13 +66,13 @@
 				if !fresh {
 					publish(t, s, draft("base", "0"))
 				}
-				var kept *pkstore.Swap
+				var lost *pkstore.Swap
 				lose := func(want bool) func(pkstore.Swap) error {
 					return func(w pkstore.Swap) error {
-						if !want || kept != nil || w.Key != HeadKey || !strings.Contains(string(w.Value), `"mine"`) {
+						if !want || lost != nil || w.Key != HeadKey || !strings.Contains(string(w.Value), `"mine"`) {
 							return nil
 						}
-						kept = &w
+						lost = &w
 						return pkcontract.ErrLost
 					}
 				}
@@ -83,7 +81,7 @@
 				assert.NilError(t, err)
 				assert.Equal(t, out.Result, c.want)
 				if c.late {
-					_, err := s.Swap(context.Background(), *kept)
+					_, err := s.Swap(context.Background(), *lost)
 					assert.NilError(t, err)
 				}
 				head, _, err := Read(t.Context(), s)
@@ -95,9 +93,9 @@
 	}
 }
 
-// The store is down while the outcome is settled. The operator must be told
-// that it is unknown, and must be able to settle it once the store is back.
-func TestUnknownIsSettledLater(t *testing.T) {
+// The store is down while the outcome is determined. The result must be Unknown, and
+// it must be possible to determine it once the store is back.
+func TestSettleAfterUnknown(t *testing.T) {
 	s := pkcontract.NewMemory()
 	publish(t, s, draft("base", "0"))
 	down := false
@@ -114,7 +112,7 @@
 		}
 		return nil
 	}
-	out, err := Publish(t.Context(), brokenReads{s, &down}, draft("mine", "1"))
+	out, err := Publish(t.Context(), failingReads{s, &down}, draft("mine", "1"))
 	assert.Assert(t, err != nil)
 	assert.Equal(t, out.Result, Unknown)
 	down = false
@@ -124,23 +122,23 @@
 	assert.Equal(t, out.Result, Accepted)
 }
 
-type brokenReads struct {
+type failingReads struct {
 	*pkcontract.Memory
 	down *bool
 }
 
-func (b brokenReads) Load(ctx context.Context, key string) (pkstore.Item, error) {
-	if *b.down {
+func (f failingReads) Load(ctx context.Context, key string) (pkstore.Item, error) {
+	if *f.down {
 		return pkstore.Item{}, pkcontract.ErrLost
 	}
-	return b.Memory.Load(ctx, key)
+	return f.Memory.Load(ctx, key)
 }
 
-func TestBodyLargerThanAValue(t *testing.T) {
+func TestBodyInSeveralChunks(t *testing.T) {
 	s := pkcontract.NewMemory()
 	random := rand.NewChaCha8([32]byte{1})
 	body := strings.Builder{}
-	for body.Len() < 2*chunkSize { // random, or packing would make it small
+	for body.Len() < 2*chunkSize { // random, so that it does not compress below two chunks
 		fmt.Fprintf(&body, "%016x", random.Uint64())
 	}
 	out := publish(t, s, draft("big", body.String()))
@@ -154,7 +152,7 @@
 	assert.ErrorContains(t, err, "has digest")
 }
 
-func TestBaseMustBeInForce(t *testing.T) {
+func TestPublishRefusesStaleBase(t *testing.T) {
 	s := pkcontract.NewMemory()
 	publish(t, s, draft("one", "1"))
 	publish(t, s, draft("two", "2"))
@@ -165,7 +163,7 @@
 	assert.Equal(t, publish(t, s, d).Result, Accepted)
 }
 
-func TestConsiderNeverGoesBack(t *testing.T) {
+func TestConsiderRejectsOlderRevision(t *testing.T) {
 	assert.Equal(t, Consider(0, "", 1, "a"), Adopt)
 	assert.Equal(t, Consider(2, "a", 3, "b"), Adopt)
 	assert.Equal(t, Consider(2, "a", 2, "a"), Same)
@@ -173,9 +171,9 @@
 	assert.Equal(t, Consider(2, "a", 2, "b"), Conflict)
 }
 
-// A peer or the store hands out a small value that unpacks to gigabytes. It
-// must be refused before it fills the VM's memory.
-func TestUnpackIsBounded(t *testing.T) {
+// A decompression bomb from a peer or the store must be rejected before it exhausts
+// the VM's memory.
+func TestUnpackBoundsSize(t *testing.T) {
 	packed, err := Pack(make([]byte, maxBody+1))
 	assert.NilError(t, err)
 	_, err = Unpack(packed)
