--- a/pkmanifest/check.go
+++ b/pkmanifest/check.go
@@ -10,7 +10,7 @@
 	"peridotknot.example/pkyaml"
 )
 
-// Digest is the SHA-256 of a manifest's body, in hex.
+// Digest is the SHA-256 of a manifest's body in hexadecimal.
 type Digest string
 
 // DigestOf returns the digest of body.
@@ -19,15 +19,15 @@
 	return Digest(hex.EncodeToString(sum[:]))
 }
 
-// Parse reads and checks a manifest; the error is a pkyaml.Faults with every
-// fault of the file.
+// Parse decodes and validates a manifest; the error is a pkyaml.Faults with all
+// faults of the file.
 func Parse(file string, body []byte) (Manifest, error) {
 	m, doc, err := pkyaml.Decode[Manifest](file, body)
 	if err != nil {
 		return m, err
 	}
 	c := checker{pkyaml.Checker{Doc: doc}}
-	c.head(m)
+	c.header(m)
 	c.models(m)
 	c.services(m)
 	c.accounts(m)
@@ -36,8 +36,8 @@
 
 type checker struct{ pkyaml.Checker }
 
-func (c *checker) head(m Manifest) {
-	c.Want(m.Schema == Schema, fmt.Sprintf("schema is %d, this build reads %d", m.Schema, Schema), "schema")
+func (c *checker) header(m Manifest) {
+	c.Want(m.Schema == Schema, fmt.Sprintf("schema is %d, this build supports %d", m.Schema, Schema), "schema")
 	c.Want(m.Name != "", "name is missing", "name")
 	l := m.Limits
 	c.Want(l.DefaultDeadline > 0, "default_deadline is missing or not above zero", "limits", "default_deadline")
@@ -49,33 +49,33 @@
 
 func (c *checker) models(m Manifest) {
 	seen := map[pkid.ModelID]bool{}
-	for i, one := range m.Models {
-		c.Want(one.ID != "", "id is missing", "models", i)
-		c.Want(!seen[one.ID], fmt.Sprintf("model %q stands twice", one.ID), "models", i, "id")
-		seen[one.ID] = true
-		c.Want(one.Version != "", "version is missing", "models", i)
-		c.Want(one.Pool != "", "pool is missing", "models", i)
-		c.Want(one.Layers > 0, "layers is missing or not above zero", "models", i, "layers")
-		c.Want(one.LoadsAtOnce > 0, "loads_at_once is missing or not above zero", "models", i)
-		c.splits(i, one)
+	for i, model := range m.Models {
+		c.Want(model.ID != "", "id is missing", "models", i)
+		c.Want(!seen[model.ID], fmt.Sprintf("model %q is declared twice", model.ID), "models", i, "id")
+		seen[model.ID] = true
+		c.Want(model.Version != "", "version is missing", "models", i)
+		c.Want(model.Pool != "", "pool is missing", "models", i)
+		c.Want(model.Layers > 0, "layers is missing or not above zero", "models", i, "layers")
+		c.Want(model.LoadsAtOnce > 0, "loads_at_once is missing or not above zero", "models", i)
+		c.splits(i, model)
 	}
 }
 
-// splits checks that the ranges can be joined into chains that hold each layer
-// once. Ranges may overlap, since pools are split unevenly, but one that no
-// chain can use would hold a target that never serves.
+// splits checks that every split is part of a chain that covers each layer exactly
+// once. Splits may overlap each other, since a pool can have several chains, but
+// targets of a split that is in no chain would never serve.
 func (c *checker) splits(i int, m Model) {
 	c.Want(len(m.Splits) > 0, "splits is missing", "models", i)
-	fromStart := map[pkid.Layer]bool{0: true}
-	toEnd := map[pkid.Layer]bool{m.Layers: true}
-	// Every useful split settles at least one boundary a round.
+	startReaches := map[pkid.Layer]bool{0: true}
+	reachesEnd := map[pkid.Layer]bool{m.Layers: true}
+	// Each round adds at least one boundary per map until none is left to add.
 	for range m.Splits {
 		for _, s := range m.Splits {
-			if fromStart[s.First] && s.End > s.First {
-				fromStart[s.End] = true
+			if startReaches[s.First] && s.End > s.First {
+				startReaches[s.End] = true
 			}
-			if toEnd[s.End] && s.End > s.First {
-				toEnd[s.First] = true
+			if reachesEnd[s.End] && s.End > s.First {
+				reachesEnd[s.First] = true
 			}
 		}
 	}
@@ -84,10 +84,10 @@
 		switch {
 		case s.First < 0 || s.End <= s.First || s.End > m.Layers:
 			c.Say(fmt.Sprintf("layers %d to %d are not a range within 0 to %d", s.First, s.End, m.Layers), path...)
-		case !fromStart[s.First]:
-			c.Say(fmt.Sprintf("no splits join layer 0 to layer %d: there is a gap or an overlap before it", s.First), path...)
-		case !toEnd[s.End]:
-			c.Say(fmt.Sprintf("no splits join layer %d to layer %d: there is a gap or an overlap after it", s.End, m.Layers), path...)
+		case !startReaches[s.First]:
+			c.Say(fmt.Sprintf("no chain of splits covers layers 0 to %d: there is a gap or an overlap", s.First), path...)
+		case !reachesEnd[s.End]:
+			c.Say(fmt.Sprintf("no chain of splits covers layers %d to %d: there is a gap or an overlap", s.End, m.Layers), path...)
 		}
 		c.Want(s.Weight > 0, "weight is missing or not above zero", path...)
 	}
@@ -95,12 +95,12 @@
 
 func (c *checker) services(m Manifest) {
 	seen := map[pkid.ServiceID]bool{}
-	for i, one := range m.Services {
-		c.Want(one.ID != "", "id is missing", "services", i)
-		c.Want(!seen[one.ID], fmt.Sprintf("service %q stands twice", one.ID), "services", i, "id")
-		seen[one.ID] = true
-		c.Want(one.Pool != "", "pool is missing", "services", i)
-		for j, r := range one.Idempotent {
+	for i, service := range m.Services {
+		c.Want(service.ID != "", "id is missing", "services", i)
+		c.Want(!seen[service.ID], fmt.Sprintf("service %q is declared twice", service.ID), "services", i, "id")
+		seen[service.ID] = true
+		c.Want(service.Pool != "", "pool is missing", "services", i)
+		for j, r := range service.Idempotent {
 			c.Want(r.Method != "", "method is missing", "services", i, "idempotent", j)
 			c.Want(r.Prefix != "" && r.Prefix[0] == '/', "prefix must begin with /", "services", i, "idempotent", j)
 		}
@@ -112,22 +112,22 @@
 	services := ids(m.Services, func(o Service) pkid.ServiceID { return o.ID })
 	seen := map[pkid.AccountID]bool{}
 	keys := map[pkid.KeyID]bool{}
-	for i, one := range m.Accounts {
-		c.Want(one.ID != "", "id is missing", "accounts", i)
-		c.Want(!seen[one.ID], fmt.Sprintf("account %q stands twice", one.ID), "accounts", i, "id")
-		seen[one.ID] = true
-		c.Want(one.Weight > 0, "weight is missing or not above zero", "accounts", i)
-		c.Want(one.MaxInFlight > 0, "max_in_flight is missing or not above zero", "accounts", i)
-		c.Want(len(one.Keys) > 0, "keys is missing", "accounts", i)
-		for j, k := range one.Keys {
-			c.Want(k.ID != "" && k.Salt != "" && len(k.Hash) == 2*sha256.Size, "a key needs id, salt and a SHA-256 hash", "accounts", i, "keys", j)
-			c.Want(!keys[k.ID], fmt.Sprintf("key %q stands twice", k.ID), "accounts", i, "keys", j)
+	for i, account := range m.Accounts {
+		c.Want(account.ID != "", "id is missing", "accounts", i)
+		c.Want(!seen[account.ID], fmt.Sprintf("account %q is declared twice", account.ID), "accounts", i, "id")
+		seen[account.ID] = true
+		c.Want(account.Weight > 0, "weight is missing or not above zero", "accounts", i)
+		c.Want(account.MaxInFlight > 0, "max_in_flight is missing or not above zero", "accounts", i)
+		c.Want(len(account.Keys) > 0, "keys is missing", "accounts", i)
+		for j, k := range account.Keys {
+			c.Want(k.ID != "" && k.Salt != "" && len(k.Hash) == 2*sha256.Size, "a key needs id, salt and a hexadecimal SHA-256 hash", "accounts", i, "keys", j)
+			c.Want(!keys[k.ID], fmt.Sprintf("key %q is declared twice", k.ID), "accounts", i, "keys", j)
 			keys[k.ID] = true
 		}
-		for j, id := range one.Models {
+		for j, id := range account.Models {
 			c.Want(slices.Contains(models, id), fmt.Sprintf("model %q is not declared", id), "accounts", i, "models", j)
 		}
-		for j, id := range one.Services {
+		for j, id := range account.Services {
 			c.Want(slices.Contains(services, id), fmt.Sprintf("service %q is not declared", id), "accounts", i, "services", j)
 		}
 	}
@@ -135,8 +135,8 @@
 
 func ids[T any, I comparable](all []T, id func(T) I) []I {
 	out := make([]I, len(all))
-	for i, one := range all {
-		out[i] = id(one)
+	for i, v := range all {
+		out[i] = id(v)
 	}
 	return out
 }
--- a/pkmanifest/diff.go
+++ b/pkmanifest/diff.go
@@ -10,25 +10,25 @@
 type Change struct {
 	// Op is added, removed or changed.
 	Op string `json:"op"`
-	// Item names what differs, as in "model budget-de".
+	// Item names the changed part, as in "model budget-de".
 	Item string `json:"item"`
 }
 
-// Diff returns what differs from a to b, in order of item.
+// Diff returns the changes from a to b, sorted by item.
 func Diff(a, b Manifest) []Change {
-	was, is := items(a), items(b)
+	before, after := items(a), items(b)
 	var out []Change
-	for item, text := range is {
-		old, found := was[item]
+	for item, encoded := range after {
+		old, found := before[item]
 		switch {
 		case !found:
 			out = append(out, Change{Op: "added", Item: item})
-		case old != text:
+		case old != encoded:
 			out = append(out, Change{Op: "changed", Item: item})
 		}
 	}
-	for item := range was {
-		if _, found := is[item]; !found {
+	for item := range before {
+		if _, found := after[item]; !found {
 			out = append(out, Change{Op: "removed", Item: item})
 		}
 	}
@@ -41,21 +41,22 @@
 	return out
 }
 
+// items returns the JSON encoding of each part of m by item name.
 func items(m Manifest) map[string]string {
-	out := map[string]string{"name": m.Name, "limits": text(m.Limits)}
-	for _, one := range m.Models {
-		out[fmt.Sprintf("model %s", one.ID)] = text(one)
+	out := map[string]string{"name": m.Name, "limits": encode(m.Limits)}
+	for _, model := range m.Models {
+		out[fmt.Sprintf("model %s", model.ID)] = encode(model)
 	}
-	for _, one := range m.Services {
-		out[fmt.Sprintf("service %s", one.ID)] = text(one)
+	for _, service := range m.Services {
+		out[fmt.Sprintf("service %s", service.ID)] = encode(service)
 	}
-	for _, one := range m.Accounts {
-		out[fmt.Sprintf("account %s", one.ID)] = text(one)
+	for _, account := range m.Accounts {
+		out[fmt.Sprintf("account %s", account.ID)] = encode(account)
 	}
 	return out
 }
 
-func text(v any) string {
+func encode(v any) string {
 	raw, err := json.Marshal(v)
 	if err != nil {
 		return err.Error()
--- a/pkmanifest/key.go
+++ b/pkmanifest/key.go
@@ -19,28 +19,28 @@
 	secretBytes  = 24
 )
 
-// Key is an API key as the manifest keeps it: its public id and a salted hash.
+// Key is the stored form of an API key: its public id and a salted hash.
 type Key struct {
 	ID   pkid.KeyID `yaml:"id" json:"id"`
 	Salt string     `yaml:"salt" json:"salt"`
 	Hash string     `yaml:"hash" json:"hash"`
 }
 
-// errKeyShape never holds the key: errors end up in logs.
-var errKeyShape = errors.New("an API key reads pk_ID_SECRET")
+// errKeyFormat does not include the key, since errors are logged.
+var errKeyFormat = errors.New("an API key has the form pk_ID_SECRET")
 
-// NewKey makes a random API key and returns it with its manifest form.
+// NewKey generates a random API key and returns it with its stored form.
 func NewKey() (string, Key) {
 	id := pkid.KeyID(randomHex(keyIDBytes))
 	key := strings.Join([]string{keyPrefix, string(id), randomHex(secretBytes)}, "_")
-	kept, err := HashKey(key)
+	stored, err := HashKey(key)
 	if err != nil {
-		panic(err) // the key was made in this shape just now
+		panic(err) // the key generated above is well-formed
 	}
-	return key, kept
+	return key, stored
 }
 
-// HashKey returns the manifest form of an API key, with a fresh salt.
+// HashKey returns the stored form of an API key, with a new random salt.
 func HashKey(key string) (Key, error) {
 	id, secret, err := SplitKey(key)
 	if err != nil {
@@ -54,18 +54,18 @@
 func SplitKey(key string) (pkid.KeyID, string, error) {
 	parts := strings.Split(key, "_")
 	if len(parts) != 3 || parts[0] != keyPrefix || parts[1] == "" || parts[2] == "" {
-		return "", "", errKeyShape
+		return "", "", errKeyFormat
 	}
 	return pkid.KeyID(parts[1]), parts[2], nil
 }
 
-// Matches says in constant time whether secret is the key's.
+// Matches reports in constant time whether secret is the secret of k.
 func (k Key) Matches(secret string) bool {
 	return subtle.ConstantTimeCompare([]byte(hashSecret(k.Salt, secret)), []byte(k.Hash)) == 1
 }
 
-// hashSecret needs no slow hash: the secret is 24 random bytes, which no
-// dictionary holds, and each request pays for it.
+// hashSecret uses a fast hash, since it runs for each request and a secret of 24
+// random bytes is not open to dictionary attacks.
 func hashSecret(salt, secret string) string {
 	sum := sha256.Sum256([]byte(salt + ":" + secret))
 	return hex.EncodeToString(sum[:])
@@ -74,7 +74,7 @@
 func randomHex(n int) string {
 	raw := make([]byte, n)
 	if _, err := rand.Read(raw); err != nil {
-		panic(fmt.Sprintf("no random bytes: %v", err))
+		panic(fmt.Sprintf("read random bytes: %v", err))
 	}
 	return hex.EncodeToString(raw)
 }
--- a/pkmanifest/manifest_test.go
+++ b/pkmanifest/manifest_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-const good = `schema: 1
+const validManifest = `schema: 1
 name: nightly
 limits: {default_deadline: 20s, max_deadline: 60s, max_body: 1000, max_prompt_tokens: 10, max_output_tokens: 10}
 models:
@@ -20,24 +20,24 @@
 
 func body(replace ...string) []byte {
 	hash := strings.Repeat("0", 64)
-	return []byte(strings.NewReplacer(append([]string{"HASH", hash}, replace...)...).Replace(good))
+	return []byte(strings.NewReplacer(append([]string{"HASH", hash}, replace...)...).Replace(validManifest))
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseRejectsFaults(t *testing.T) {
 	_, err := Parse("m.yaml", body())
 	assert.NilError(t, err)
 	cases := map[string]struct{ old, now, want string }{
-		"another schema":      {"schema: 1", "schema: 2", "m.yaml:1: schema is 2"},
-		"gap in layers":       {"first: 4, end: 8", "first: 5, end: 8", "no splits join layer 0 to layer 5"},
-		"overlap in layers":   {"first: 4, end: 8", "first: 3, end: 8", "no splits join layer 0 to layer 3"},
-		"range past the end":  {"first: 4, end: 8", "first: 4, end: 9", "not a range within 0 to 8"},
-		"no weight":           {"id: a, weight: 1", "id: a, weight: 0", "m.yaml:9: weight is missing"},
-		"unknown model":       {"models: [m]", "models: [n]", `m.yaml:9: model "n" is not declared`},
-		"unknown service":     {"services: [s]", "services: [r]", `service "r" is not declared`},
-		"deadlines crossed":   {"max_deadline: 60s", "max_deadline: 6s", "m.yaml:3: max_deadline is below"},
-		"relative prefix":     {"prefix: /records", "prefix: records", "m.yaml:7: prefix must begin with /"},
-		"hash of wrong size":  {"hash: HASH", "hash: abc", "a key needs id, salt"},
-		"key without account": {"keys: [{id: k1, salt: s, hash: HASH}]", "keys: []", "keys is missing"},
+		"unsupported schema":   {"schema: 1", "schema: 2", "m.yaml:1: schema is 2"},
+		"gap in layers":        {"first: 4, end: 8", "first: 5, end: 8", "no chain of splits covers layers 0 to 5"},
+		"overlap in layers":    {"first: 4, end: 8", "first: 3, end: 8", "no chain of splits covers layers 0 to 3"},
+		"range past the end":   {"first: 4, end: 8", "first: 4, end: 9", "not a range within 0 to 8"},
+		"no weight":            {"id: a, weight: 1", "id: a, weight: 0", "m.yaml:9: weight is missing"},
+		"unknown model":        {"models: [m]", "models: [n]", `m.yaml:9: model "n" is not declared`},
+		"unknown service":      {"services: [s]", "services: [r]", `service "r" is not declared`},
+		"max below default":    {"max_deadline: 60s", "max_deadline: 6s", "m.yaml:3: max_deadline is below"},
+		"relative prefix":      {"prefix: /records", "prefix: records", "m.yaml:7: prefix must begin with /"},
+		"hash of wrong length": {"hash: HASH", "hash: abc", "a key needs id, salt"},
+		"account without keys": {"keys: [{id: k1, salt: s, hash: HASH}]", "keys: []", "keys is missing"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -47,23 +47,23 @@
 	}
 }
 
-func TestParseReportsEveryFault(t *testing.T) {
+func TestParseReportsAllFaults(t *testing.T) {
 	_, err := Parse("m.yaml", body("weight: 1, max_in_flight: 1", "weight: 0, max_in_flight: 0", "models: [m]", "models: [n]"))
 	assert.Equal(t, strings.Count(err.Error(), "m.yaml:9:"), 3, err.Error())
 }
 
-func TestKeyFindsOnlyItsAccount(t *testing.T) {
-	key, kept := NewKey()
-	m := Manifest{Accounts: []Account{{ID: "a", Keys: []Key{kept}, Models: nil}}}
+func TestAccountByKey(t *testing.T) {
+	key, stored := NewKey()
+	m := Manifest{Accounts: []Account{{ID: "a", Keys: []Key{stored}, Models: nil}}}
 	v := NewView(m, 1, "d")
 	a, found := v.Account(key)
 	assert.Assert(t, found)
 	assert.Equal(t, a.ID, m.Accounts[0].ID)
-	for _, wrong := range []string{"", "pk", key + "0", "pk_" + string(kept.ID) + "_", "pk_x_" + strings.Split(key, "_")[2]} {
+	for _, wrong := range []string{"", "pk", key + "0", "pk_" + string(stored.ID) + "_", "pk_x_" + strings.Split(key, "_")[2]} {
 		_, found := v.Account(wrong)
 		assert.Assert(t, !found, wrong)
 	}
-	assert.Assert(t, !strings.Contains(kept.Hash+kept.Salt, strings.Split(key, "_")[2]))
+	assert.Assert(t, !strings.Contains(stored.Hash+stored.Salt, strings.Split(key, "_")[2]))
 }
 
 func TestRepeatable(t *testing.T) {
--- a/pkmanifest/view.go
+++ b/pkmanifest/view.go
@@ -6,8 +6,8 @@
 	"peridotknot.example/pkid"
 )
 
-// View is a manifest in force, indexed for the request path. It is never
-// changed after NewView; a new revision gets a new View.
+// View is a manifest in force, indexed for lookups on the request path. It is
+// immutable; a new revision gets a new View.
 type View struct {
 	Manifest Manifest
 	Revision pkid.Revision
@@ -23,7 +23,7 @@
 	account *Account
 }
 
-// NewView indexes a checked manifest.
+// NewView indexes a validated manifest.
 func NewView(m Manifest, rev pkid.Revision, digest Digest) *View {
 	v := &View{
 		Manifest: m,
@@ -62,8 +62,8 @@
 
 // Model returns a model that the account may use.
 func (v *View) Model(a *Account, id pkid.ModelID) (*Model, bool) {
-	// A model that the account may not use answers like one that does not
-	// exist, so that names of other accounts' models cannot be probed.
+	// A model that the account may not use is reported as not found, so that
+	// the names of other accounts' models cannot be probed.
 	if !slices.Contains(a.Models, id) {
 		return nil, false
 	}
@@ -80,7 +80,7 @@
 	return s, found
 }
 
-// Pools returns the pools that the manifest names, in its order.
+// Pools returns the pools that the manifest names, sorted and without duplicates.
 func (v *View) Pools() []pkid.PoolID {
 	var out []pkid.PoolID
 	for _, m := range v.Manifest.Models {
