--- a/pkconfig/config.go
+++ b/pkconfig/config.go
@@ -7,20 +7,20 @@
 	"peridotknot.example/pklayers"
 )
 
-// Version counts the operators' configurations; a higher one replaces a lower one.
+// Version is the version number of a configuration; a higher one replaces a lower one.
 type Version uint64
 
-// Kind says what may be repeated of a request.
+// Kind is the kind of a route's requests, which decides whether they may be retried.
 type Kind uint8
 
-// Kinds of requests; the zero value may not be repeated.
+// Kinds of requests; the zero value does not allow retries of a request that may have run.
 const (
 	NonIdempotent Kind = iota
 	Idempotent
 	Stream
 )
 
-// String returns the kind as it stands in logs.
+// String returns the kind as it is written in logs.
 func (k Kind) String() string {
 	switch k {
 	case Idempotent:
@@ -32,52 +32,52 @@
 	}
 }
 
-// Share is one service of a route and its part of the requests.
+// Share is a service of a route and its weight in the traffic split.
 type Share struct {
 	Service pkid.ServiceID
 	Weight  int
 }
 
-// Route says where the requests of a host and path prefix go.
+// Route maps the requests of a host and path prefix to services.
 type Route struct {
 	Name     string
 	Host     string
 	Prefix   string
 	Kind     Kind
 	Services []Share
-	// Timeout is how long a caller may be kept waiting for the whole answer.
+	// Timeout bounds the time to the complete response.
 	Timeout time.Duration
-	// Objective is the time to the answer, of a stream to its first event, that
-	// callers are promised.
+	// Objective is the latency objective: the time to the response, for a stream to
+	// its first event.
 	Objective time.Duration
-	// PauseObjective is the longest pause between events that callers are promised.
+	// PauseObjective is the objective for the longest gap between events of a stream.
 	PauseObjective time.Duration
 	// Priority orders requests; 0 is the most urgent.
 	Priority int
-	// MaxAttempts is how many targets may run one request.
+	// MaxAttempts bounds how many targets may run one request.
 	MaxAttempts int
 	// Public routes need no API key.
 	Public bool
-	// Resumable streams may go on at another target after their last event.
+	// Resumable streams may be resumed by another target after the last event received.
 	Resumable bool
 }
 
-// Repeatable says whether a request that may have run may be sent again.
+// Repeatable reports whether a request that may have run may be retried.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || (r.Kind == Stream && r.Resumable)
 }
 
-// Service is a group of targets that serve the same thing.
+// Service is a group of targets that serve the same requests.
 type Service struct {
 	ID         pkid.ServiceID
 	HealthPath string
-	// MaxConns is how many connections a target accepts from all callers.
+	// MaxConns is how many connections a target accepts in total.
 	MaxConns int
-	// Engine is set where the targets are model engines.
+	// Engine is set if the targets are model engines.
 	Engine *pklayers.Model
 }
 
-// Limits bounds what a caller may send and how long it may take.
+// Limits bounds the size of requests and how long callers may take to send them.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -89,7 +89,7 @@
 type Account struct {
 	ID   pkid.AccountID
 	Keys []string
-	// Priority goes before the route's, where it is set.
+	// Priority overrides the priority of the route if it is set.
 	Priority *int
 }
 
--- a/pkconfig/doc.go
+++ b/pkconfig/doc.go
@@ -1,6 +1,6 @@
-// Package pkconfig holds the operators' configuration as entries follow it:
-// routes by host and path prefix, services, API keys and limits.
+// Package pkconfig defines the operators' configuration that entries apply: routes
+// by host and path prefix, services, API keys and limits.
 //
-// A Config is what one version says. A Table is a Config made ready for look-ups.
-// A Book holds the Table in force and never goes back to an older version.
+// A Config is one version of the configuration, a Table is a Config indexed for
+// lookups, and a Book holds the Table in force, whose version never decreases.
 package pkconfig
--- a/pkconfig/table.go
+++ b/pkconfig/table.go
@@ -11,17 +11,17 @@
 	"peridotknot.example/pkstore"
 )
 
-// Table is a configuration made ready for look-ups; it does not change.
+// Table is a configuration indexed for lookups; it is immutable.
 type Table struct {
 	Config
-	// Item is the configuration as the store has it, for entries that lack it.
+	// Item is the stored configuration, which is passed on to entries that lack it.
 	Item     pkstore.Item
 	routes   map[string][]*Route
 	accounts map[string]*Account
 	services map[pkid.ServiceID]*Service
 }
 
-// NewTable returns the table of a configuration, which the store has in an item.
+// NewTable indexes a configuration that was read from item.
 func NewTable(c Config, item pkstore.Item) *Table {
 	t := &Table{
 		Config:   c,
@@ -31,11 +31,11 @@
 		services: map[pkid.ServiceID]*Service{},
 	}
 	for i := range t.Routes {
-		one := &t.Routes[i]
-		t.routes[one.Host] = append(t.routes[one.Host], one)
+		route := &t.Routes[i]
+		t.routes[route.Host] = append(t.routes[route.Host], route)
 	}
-	for _, all := range t.routes {
-		slices.SortStableFunc(all, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
+	for _, routes := range t.routes {
+		slices.SortStableFunc(routes, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	}
 	for i := range t.Accounts {
 		for _, key := range t.Accounts[i].Keys {
@@ -48,59 +48,59 @@
 	return t
 }
 
-// Route returns the route of host with the longest prefix that begins path.
+// Route returns the route of host with the longest prefix of path.
 func (t *Table) Route(host, path string) (*Route, bool) {
-	for _, one := range t.routes[host] {
-		if strings.HasPrefix(path, one.Prefix) {
-			return one, true
+	for _, route := range t.routes[host] {
+		if strings.HasPrefix(path, route.Prefix) {
+			return route, true
 		}
 	}
 	return nil, false
 }
 
-// Account returns the client account that holds an API key.
+// Account returns the client account of an API key.
 func (t *Table) Account(key string) (*Account, bool) {
 	a, found := t.accounts[key]
 	return a, found
 }
 
-// Service returns a service.
+// Service returns the service with the given id.
 func (t *Table) Service(id pkid.ServiceID) (*Service, bool) {
 	s, found := t.services[id]
 	return s, found
 }
 
-// Keyed says whether requests carry API keys at all.
+// Keyed reports whether routes that are not public require an API key.
 func (t *Table) Keyed() bool { return len(t.Accounts) > 0 }
 
 // Book holds the configuration in force; the zero value holds none.
 type Book struct {
-	mu  sync.Mutex
-	now atomic.Pointer[Table]
+	mu      sync.Mutex
+	current atomic.Pointer[Table]
 }
 
-// Table returns the configuration in force, or nil while none is known.
-func (b *Book) Table() *Table { return b.now.Load() }
+// Table returns the configuration in force, or nil before the first one.
+func (b *Book) Table() *Table { return b.current.Load() }
 
-// Adopt puts a configuration in force unless one of the same or a higher version
-// is. Sources overtake each other: a peer or a late answer of the store can bring
-// an older version after a newer one, and a key that was taken away would serve
-// again. So can a store that has come back from an older copy, until the operators
-// have written again what it lost; what it names later in its order is none the newer.
+// Adopt puts a configuration in force and reports true, unless the same or a higher
+// version is in force already. Peers and late responses of the store can deliver an
+// older version, which would bring back revoked keys. So can a store restored from an
+// older copy: its revisions belong to a later era, but its versions may be lower. If
+// the version in force arrives from a later era, only the item is updated.
 func (b *Book) Adopt(c Config, item pkstore.Item) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	now, rev := b.now.Load(), item.Revision
+	current, rev := b.current.Load(), item.Revision
 	switch {
-	case now == nil:
-	case c.Version == now.Version && rev.Era() > now.Item.Revision.Era():
-		again := *now
-		again.Item = item
-		b.now.Store(&again)
+	case current == nil:
+	case c.Version == current.Version && rev.Era() > current.Item.Revision.Era():
+		updated := *current
+		updated.Item = item
+		b.current.Store(&updated)
 		return false
-	case c.Version <= now.Version, rev.Era() == now.Item.Revision.Era() && rev <= now.Item.Revision:
+	case c.Version <= current.Version, rev.Era() == current.Item.Revision.Era() && rev <= current.Item.Revision:
 		return false
 	}
-	b.now.Store(NewTable(c, item))
+	b.current.Store(NewTable(c, item))
 	return true
 }
