--- a/pkstore/doc.go
+++ b/pkstore/doc.go
@@ -1,6 +1,6 @@
-// Package pkstore is the port to the platform's key-value service, the one
-// place where anything lasts: compare-and-swap, leases and watches.
+// Package pkstore is the port to the platform's key-value service, the only
+// durable storage of the router: compare-and-swap, leases and watches.
 //
-// An error from a write never means that the write did not happen. Callers
-// settle a lost answer by reading, as package pkhead does.
+// A write that returns an error other than ErrRefused may still have taken
+// effect. Callers determine the outcome by reading, as package pkhead does.
 package pkstore
--- a/pkstore/revision_test.go
+++ b/pkstore/revision_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// The store comes back from an older copy and counts on from there. What it writes then must
-// count as later than all that it had written before, whatever the numbers.
-func TestRevisionsOfALaterEraComeLater(t *testing.T) {
+// A store restored from an older copy assigns numbers again that it had assigned before. Revisions of
+// the later era must compare as later than all of the earlier one.
+func TestRevisionsAreOrderedByEra(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		eras := rapid.Uint32Range(0, 1<<13)
 		numbers := rapid.Uint64Range(0, 1<<numberBits-1)
@@ -25,8 +25,8 @@
 	})
 }
 
-func TestARevisionIsWrittenWithItsEra(t *testing.T) {
+func TestRevisionString(t *testing.T) {
 	assert.Equal(t, NewRevision(0, 7).String(), "7")
 	assert.Equal(t, NewRevision(3, 7).String(), "3/7")
-	assert.Equal(t, NewRevision(0, 7), Revision(7), "a store that tells no era")
+	assert.Equal(t, NewRevision(0, 7), Revision(7), "without an era, a revision is its number")
 }
--- a/pkstore/store.go
+++ b/pkstore/store.go
@@ -6,33 +6,34 @@
 	"time"
 )
 
-// LeaseID names a lease of the store; zero is no lease.
+// LeaseID identifies a lease; zero means no lease.
 type LeaseID int64
 
-// Item is a key with its value.
+// Item is a key with its value and the revision of its last write.
 type Item struct {
 	Key      string
 	Value    []byte
 	Revision Revision
 }
 
-// Event is one change that a watch saw.
+// Event is a change of a key that a watch reports.
 type Event struct {
 	Item    Item
 	Deleted bool
 }
 
-// ErrCompacted is returned by a watch that asks for changes no longer kept;
-// the caller must read afresh and watch from there.
-var ErrCompacted = errors.New("the store no longer keeps the changes asked for")
+// ErrCompacted is returned by a watch whose start revision has been compacted; the
+// caller must list again and watch from the revision of the list.
+var ErrCompacted = errors.New("requested revision has been compacted")
 
-// ErrNoLease is returned when a lease has ended.
-var ErrNoLease = errors.New("the lease has ended")
+// ErrNoLease is returned if a lease has expired or was revoked.
+var ErrNoLease = errors.New("lease not found or expired")
 
-// ErrRefused is returned when the store says that it did nothing.
-var ErrRefused = errors.New("the store refused the call")
+// ErrRefused is returned if the store rejected the call without any effect.
+var ErrRefused = errors.New("call rejected by the store")
 
-// Swap is a write that takes effect only if the key is still at Old.
+// Swap is a compare-and-swap: a write that takes effect only if the key is at
+// revision Old.
 type Swap struct {
 	Key   string
 	Old   Revision
@@ -42,43 +43,44 @@
 	Delete bool
 }
 
-// Swapped is the answer to a Swap.
+// Swapped is the result of a Swap.
 type Swapped struct {
 	// Done says that the write took effect.
 	Done bool
-	// Item is the key as it now stands.
+	// Item is the current item of the key.
 	Item Item
 }
 
-// Store is the platform's key-value service.
+// Store is the client interface of the platform's key-value service.
 type Store interface {
 	// Load returns the item at key; a missing key has Revision zero.
 	Load(ctx context.Context, key string) (Item, error)
 	// List returns the items whose key begins with prefix, and the store's
-	// revision at that moment.
+	// revision at the time of the list.
 	List(ctx context.Context, prefix string) ([]Item, Revision, error)
-	// Swap writes if the key is unchanged; after an error it may have written.
+	// Swap writes if the key is at s.Old; after an error other than ErrRefused the
+	// write may have taken effect.
 	Swap(ctx context.Context, s Swap) (Swapped, error)
-	// Grant begins a lease that ends ttl after its last renewal.
+	// Grant creates a lease that expires ttl after its last renewal.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// Renew renews a lease; ErrNoLease says that it has ended.
+	// Renew renews a lease; it returns ErrNoLease if the lease has expired.
 	Renew(ctx context.Context, id LeaseID) error
-	// Revoke ends a lease and removes its keys.
+	// Revoke ends a lease and deletes its keys.
 	Revoke(ctx context.Context, id LeaseID) error
-	// Watch calls each for every change under prefix after revision from,
-	// until ctx ends or the watch breaks.
+	// Watch calls each for every change under prefix after revision from, until
+	// ctx is done or the watch fails.
 	Watch(ctx context.Context, prefix string, from Revision, each func(Event)) error
 }
 
-// Feed is a store whose changes are read in batches.
+// Feed reads the changes of the store in batches.
 type Feed interface {
 	// Changes waits for events under prefix after a revision and returns them
-	// with the revision to go on from; ErrCompacted says that the caller must
-	// list afresh.
+	// with the revision to continue from; it returns ErrCompacted if the caller
+	// must list again.
 	Changes(ctx context.Context, prefix string, after Revision) ([]Event, Revision, error)
-	// Peek returns the item at key as it is or was some seconds before, at a lower price than Load; a
-	// missing key has Revision zero.
+	// Peek returns the item at key from a stale read, which may lag by a few seconds
+	// and costs less than Load; a missing key has Revision zero.
 	Peek(ctx context.Context, key string) (Item, error)
-	// Reached returns a revision that the store has reached, or had some seconds before, at that price.
+	// Reached returns the store's revision from a stale read, at the same cost.
 	Reached(ctx context.Context) (Revision, error)
 }
