--- a/pketcd/client.go
+++ b/pketcd/client.go
@@ -16,9 +16,11 @@
 )
 
 const (
-	// maxReply bounds an answer: a value is at most a megabyte, in base64.
-	maxReply  = 64 << 20
-	errorText = 300
+	// maxResponseBytes bounds a response, which can list many values of up to a
+	// megabyte each, in base64.
+	maxResponseBytes = 64 << 20
+	// maxErrorBytes bounds the part of an error response that is put into an error.
+	maxErrorBytes = 300
 )
 
 // Client is a pkstore.Store over the etcd v3 JSON gateway.
@@ -30,7 +32,7 @@
 
 var _ pkstore.Store = (*Client)(nil)
 
-// New returns a client of the gateway at addr, a host and port.
+// New returns a client of the gateway at addr, given as host:port.
 func New(addr string, o pkconn.Options) *Client {
 	return &Client{base: "http://" + addr, http: &http.Client{Transport: o.Transport()}}
 }
@@ -41,7 +43,7 @@
 	return nil
 }
 
-// Calls returns how many calls were sent, a watch counted as one.
+// Calls returns the number of calls sent; a watch counts as one.
 func (c *Client) Calls() int64 { return c.calls.Load() }
 
 // Load returns the item at key.
@@ -70,7 +72,7 @@
 	return items, pkstore.Revision(out.Header.Revision), nil
 }
 
-// Swap writes if the key is unchanged.
+// Swap writes if the key is at s.Old.
 func (c *Client) Swap(ctx context.Context, s pkstore.Swap) (pkstore.Swapped, error) {
 	key := []byte(s.Key)
 	write := RequestOp{Put: &PutRequest{Key: key, Value: s.Value, Lease: int64(s.Lease)}}
@@ -87,24 +89,24 @@
 		return pkstore.Swapped{}, err
 	}
 	if out.Succeeded {
-		now := pkstore.Item{Key: s.Key, Value: s.Value, Revision: pkstore.Revision(out.Header.Revision)}
-		return pkstore.Swapped{Done: true, Item: now}, nil
+		written := pkstore.Item{Key: s.Key, Value: s.Value, Revision: pkstore.Revision(out.Header.Revision)}
+		return pkstore.Swapped{Done: true, Item: written}, nil
 	}
-	now := pkstore.Item{Key: s.Key}
+	current := pkstore.Item{Key: s.Key}
 	if len(out.Responses) > 0 && out.Responses[0].Range != nil && len(out.Responses[0].Range.Kvs) > 0 {
-		now = item(out.Responses[0].Range.Kvs[0])
+		current = item(out.Responses[0].Range.Kvs[0])
 	}
-	return pkstore.Swapped{Item: now}, nil
+	return pkstore.Swapped{Item: current}, nil
 }
 
-// Grant begins a lease.
+// Grant creates a lease; ttl is rounded down to seconds, and at least one.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (pkstore.LeaseID, error) {
 	var out LeaseResponse
 	err := c.call(ctx, PathGrant, LeaseGrantRequest{TTL: int64(max(ttl/time.Second, 1))}, &out)
 	return pkstore.LeaseID(out.ID), err
 }
 
-// Renew renews a lease.
+// Renew renews a lease; it returns pkstore.ErrNoLease if the lease has expired.
 func (c *Client) Renew(ctx context.Context, id pkstore.LeaseID) error {
 	var out KeepAliveResponse
 	if err := c.call(ctx, PathKeepAlive, LeaseRequest{ID: int64(id)}, &out); err != nil {
@@ -116,7 +118,7 @@
 	return nil
 }
 
-// Revoke ends a lease.
+// Revoke ends a lease and deletes its keys.
 func (c *Client) Revoke(ctx context.Context, id pkstore.LeaseID) error {
 	return c.call(ctx, PathRevoke, LeaseRequest{ID: int64(id)}, &struct{}{})
 }
@@ -135,13 +137,13 @@
 	for {
 		var line WatchResponse
 		if err := dec.Decode(&line); err != nil {
-			return fmt.Errorf("watch %s broke: %w", prefix, err)
+			return fmt.Errorf("watch %s: %w", prefix, err)
 		}
 		if line.Result.CompactRevision > 0 {
 			return pkstore.ErrCompacted
 		}
 		if line.Result.Canceled {
-			return errors.New("the store ended the watch")
+			return errors.New("watch canceled by the store")
 		}
 		for _, ev := range line.Result.Events {
 			each(pkstore.Event{Item: item(ev.KV), Deleted: ev.Type == EventDelete})
@@ -155,8 +157,8 @@
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxReply)).Decode(out); err != nil {
-		return fmt.Errorf("store: decode answer of %s: %w", path, err)
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(out); err != nil {
+		return fmt.Errorf("store: decode response of %s: %w", path, err)
 	}
 	return nil
 }
@@ -177,7 +179,7 @@
 		return nil, fmt.Errorf("store: %w", err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, errorText)) // the status already says that it failed
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes)) // best effort; the status is reported in any case
 		_ = resp.Body.Close()
 		return nil, fmt.Errorf("store: %s answered %d: %s", path, resp.StatusCode, text)
 	}
@@ -188,7 +190,7 @@
 	return pkstore.Item{Key: string(kv.Key), Value: kv.Value, Revision: pkstore.Revision(kv.ModRevision)}
 }
 
-// rangeEnd returns the first key after all that begin with prefix.
+// rangeEnd returns the first key after all keys that begin with prefix.
 func rangeEnd(prefix string) []byte {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
--- a/pketcd/client_test.go
+++ b/pketcd/client_test.go
@@ -16,7 +16,7 @@
 	"peridotknot.example/pkstore"
 )
 
-func TestClientIsAStore(t *testing.T) {
+func TestClientContract(t *testing.T) {
 	pkcontract.Store(t, func(t *testing.T) pkstore.Store {
 		srv := httptest.NewServer(pkstandin.NewKV())
 		t.Cleanup(srv.CloseClientConnections)
@@ -24,43 +24,42 @@
 	})
 }
 
-// The service answers in ways that break the contract, or that a long outage
-// brings about. Each must come back as an error, never as an empty answer: an
-// empty head would read as "nothing was published".
-func TestBrokenAnswersAreErrors(t *testing.T) {
+// Malformed and error responses must be returned as errors, never as an empty item:
+// an empty head means that nothing has been published.
+func TestInvalidResponsesAreErrors(t *testing.T) {
 	cases := map[string]struct{ body, want string }{
-		"not JSON":             {"<html>", "decode answer"},
-		"cut short":            {`{"kvs":[{"key":"aw=="`, "decode answer"},
-		"a number as a word":   {`{"header":{"revision":"many"}}`, "decode answer"},
-		"bytes are not base64": {`{"kvs":[{"key":"%%%"}]}`, "decode answer"},
+		"not JSON":              {"<html>", "decode response"},
+		"truncated JSON":        {`{"kvs":[{"key":"aw=="`, "decode response"},
+		"number is not numeric": {`{"header":{"revision":"many"}}`, "decode response"},
+		"bytes are not base64":  {`{"kvs":[{"key":"%%%"}]}`, "decode response"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, err := clientOf(t, http.StatusOK, c.body).Load(t.Context(), "k")
+			_, err := newClient(t, http.StatusOK, c.body).Load(t.Context(), "k")
 			assert.ErrorContains(t, err, c.want)
 		})
 	}
-	_, err := clientOf(t, http.StatusServiceUnavailable, "no leader").Load(t.Context(), "k")
+	_, err := newClient(t, http.StatusServiceUnavailable, "no leader").Load(t.Context(), "k")
 	assert.ErrorContains(t, err, "answered 503: no leader")
 }
 
-func TestWatchSaysWhyItEnds(t *testing.T) {
+func TestWatchReturnsCause(t *testing.T) {
 	cases := map[string]struct {
 		body string
 		want error
 	}{
-		"changes were compacted": {`{"result":{"created":true}}{"result":{"compact_revision":"7","canceled":true}}`, pkstore.ErrCompacted},
+		"revision was compacted": {`{"result":{"created":true}}{"result":{"compact_revision":"7","canceled":true}}`, pkstore.ErrCompacted},
 		"connection ended":       {`{"result":{"created":true}}`, io.EOF},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			err := clientOf(t, http.StatusOK, c.body).Watch(t.Context(), "k", 1, func(pkstore.Event) {})
+			err := newClient(t, http.StatusOK, c.body).Watch(t.Context(), "k", 1, func(pkstore.Event) {})
 			assert.ErrorIs(t, err, c.want)
 		})
 	}
 }
 
-func clientOf(t *testing.T, status int, body string) *pketcd.Client {
+func newClient(t *testing.T, status int, body string) *pketcd.Client {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
 		_, _ = io.WriteString(w, body)
--- a/pketcd/doc.go
+++ b/pketcd/doc.go
@@ -1,3 +1,3 @@
-// Package pketcd reaches the key-value service through the etcd v3 JSON
-// gateway, over plain HTTP. It is an adapter for the port in package pkstore.
+// Package pketcd is a client of the key-value service over the etcd v3 JSON
+// gateway and plain HTTP. It is an adapter for the port in package pkstore.
 package pketcd
--- a/pketcd/wire.go
+++ b/pketcd/wire.go
@@ -1,9 +1,9 @@
 package pketcd
 
-// Messages of the etcd v3 JSON gateway, as far as the router uses them. The
-// gateway writes 64-bit numbers as strings and bytes as base64.
+// The part of the etcd v3 JSON gateway's messages that the router uses. The gateway
+// encodes 64-bit integers as strings and bytes as base64.
 
-// KeyValue is a key with its value.
+// KeyValue is a key with its value and the revision of its last modification.
 type KeyValue struct {
 	Key         []byte `json:"key"`
 	Value       []byte `json:"value,omitempty"`
@@ -11,18 +11,18 @@
 	Lease       int64  `json:"lease,omitempty,string"`
 }
 
-// Header is the head of each answer.
+// Header is the header of each response.
 type Header struct {
 	Revision int64 `json:"revision,omitempty,string"`
 }
 
-// RangeRequest reads one key or a range of keys.
+// RangeRequest reads Key, or the keys from Key up to but not including RangeEnd.
 type RangeRequest struct {
 	Key      []byte `json:"key"`
 	RangeEnd []byte `json:"range_end,omitempty"`
 }
 
-// RangeResponse answers a RangeRequest.
+// RangeResponse is the response to a RangeRequest.
 type RangeResponse struct {
 	Header Header     `json:"header"`
 	Kvs    []KeyValue `json:"kvs,omitempty"`
@@ -43,7 +43,7 @@
 	Lease int64  `json:"lease,omitempty,string"`
 }
 
-// DeleteRequest removes a key.
+// DeleteRequest deletes a key.
 type DeleteRequest struct {
 	Key []byte `json:"key"`
 }
@@ -55,65 +55,67 @@
 	Range  *RangeRequest  `json:"request_range,omitempty"`
 }
 
-// TxnRequest writes under a condition.
+// TxnRequest is a transaction: Success is executed if all conditions of Compare hold,
+// otherwise Failure.
 type TxnRequest struct {
 	Compare []Compare   `json:"compare"`
 	Success []RequestOp `json:"success"`
 	Failure []RequestOp `json:"failure"`
 }
 
-// ResponseOp answers one operation of a transaction.
+// ResponseOp is the response to one operation of a transaction.
 type ResponseOp struct {
 	Range *RangeResponse `json:"response_range,omitempty"`
 }
 
-// TxnResponse answers a TxnRequest.
+// TxnResponse is the response to a TxnRequest.
 type TxnResponse struct {
 	Header    Header       `json:"header"`
 	Succeeded bool         `json:"succeeded,omitempty"`
 	Responses []ResponseOp `json:"responses,omitempty"`
 }
 
-// LeaseGrantRequest begins a lease of TTL seconds.
+// LeaseGrantRequest creates a lease of TTL seconds.
 type LeaseGrantRequest struct {
 	TTL int64 `json:"TTL,string"`
 }
 
-// LeaseRequest names a lease.
+// LeaseRequest renews or revokes a lease.
 type LeaseRequest struct {
 	ID int64 `json:"ID,string"`
 }
 
-// LeaseResponse answers calls on leases; a TTL of zero says that it has ended.
+// LeaseResponse is the response to calls on leases; a TTL of zero means that the lease
+// has expired.
 type LeaseResponse struct {
 	ID  int64 `json:"ID,omitempty,string"`
 	TTL int64 `json:"TTL,omitempty,string"`
 }
 
-// KeepAliveResponse is one line of a lease's keep-alive stream.
+// KeepAliveResponse is one message of a lease's keep-alive stream.
 type KeepAliveResponse struct {
 	Result LeaseResponse `json:"result"`
 }
 
-// WatchCreate asks for the changes of a range from a revision on.
+// WatchCreate requests the changes of a key range since StartRevision, inclusive.
 type WatchCreate struct {
 	Key           []byte `json:"key"`
 	RangeEnd      []byte `json:"range_end,omitempty"`
 	StartRevision int64  `json:"start_revision,omitempty,string"`
 }
 
-// WatchRequest opens a watch.
+// WatchRequest creates a watch.
 type WatchRequest struct {
 	Create WatchCreate `json:"create_request"`
 }
 
-// WatchEvent is one change; an empty type is a put.
+// WatchEvent is one change; an empty type means a put.
 type WatchEvent struct {
 	Type string   `json:"type,omitempty"`
 	KV   KeyValue `json:"kv"`
 }
 
-// WatchResult is what one line of a watch holds.
+// WatchResult is the content of one message of a watch.
 type WatchResult struct {
 	Header          Header       `json:"header"`
 	Created         bool         `json:"created,omitempty"`
@@ -122,15 +124,15 @@
 	Events          []WatchEvent `json:"events,omitempty"`
 }
 
-// WatchResponse is one line of a watch.
+// WatchResponse is one message of a watch.
 type WatchResponse struct {
 	Result WatchResult `json:"result"`
 }
 
-// EventDelete is the type of an event that removed a key.
+// EventDelete is the type of an event that deleted a key.
 const EventDelete = "DELETE"
 
-// Values of Compare.
+// Values of Compare.Target and Compare.Result.
 const (
 	TargetMod   = "MOD"
 	ResultEqual = "EQUAL"
