--- a/pkcontract/doc.go
+++ b/pkcontract/doc.go
@@ -1,7 +1,6 @@
-// Package pkcontract holds the tests that every adapter of a port must pass,
-// and a store in memory that can lose, delay and refuse calls.
+// Package pkcontract holds the contract tests that every adapter of a port must
+// pass, and an in-memory store whose writes can be made to fail.
 //
-// An adapter's own test calls the function of its port. A fake is only of use
-// if it passes the same tests as the real adapter, so fakes are run through
-// them too.
+// The test of an adapter calls the function of its port. Fakes are run through the
+// same tests, so that they behave like the real adapters.
 package pkcontract
--- a/pkcontract/engine.go
+++ b/pkcontract/engine.go
@@ -12,21 +12,21 @@
 	"peridotknot.example/pkverdict"
 )
 
-// EngineUnderTest is an adapter and an engine that holds a whole model alone
-// and refuses old fencing numbers.
+// EngineUnderTest is an adapter and an engine that holds all layers of a model and
+// rejects outdated fencing tokens.
 type EngineUnderTest struct {
 	Engine pkengine.Engine
 	Addr   string
 	Target pkid.TargetID
 }
 
-// Engine tests an adapter of pkengine.Engine; open returns a fresh engine.
+// Engine runs the contract tests of pkengine.Engine; open returns a new engine.
 func Engine(t *testing.T, open func(*testing.T) EngineUnderTest) {
-	t.Run("a stream has every token once and its end", func(t *testing.T) { streamIsWhole(t, open(t)) })
-	t.Run("a stream resumes at an index", func(t *testing.T) { streamResumes(t, open(t)) })
-	t.Run("what the engine does not hold is refused as not run", func(t *testing.T) { refusesWrongVersion(t, open(t)) })
-	t.Run("an order is carried out and an older one refused", func(t *testing.T) { ordersAreFenced(t, open(t)) })
-	t.Run("nobody at the address is not run", func(t *testing.T) { unreachable(t, open(t)) })
+	t.Run("stream has every token once and its end", func(t *testing.T) { streamIsComplete(t, open(t)) })
+	t.Run("stream resumes at an index", func(t *testing.T) { streamResumes(t, open(t)) })
+	t.Run("wrong version is rejected as not run", func(t *testing.T) { rejectsWrongVersion(t, open(t)) })
+	t.Run("order is executed and an outdated one rejected", func(t *testing.T) { ordersAreFenced(t, open(t)) })
+	t.Run("unreachable engine is not run", func(t *testing.T) { unreachableIsNotRun(t, open(t)) })
 }
 
 func (e EngineUnderTest) request(t *testing.T, tokens pkid.Tokens) pkengine.Open {
@@ -40,8 +40,8 @@
 	}
 }
 
-// texts reads a stream to its end and returns its tokens by index.
-func (e EngineUnderTest) texts(t *testing.T, o pkengine.Open) map[pkid.Index]string {
+// readTokens reads a stream to its end and returns its tokens by index.
+func (e EngineUnderTest) readTokens(t *testing.T, o pkengine.Open) map[pkid.Index]string {
 	t.Helper()
 	s, err := e.Engine.Open(t.Context(), e.Addr, o)
 	assert.NilError(t, err)
@@ -56,16 +56,16 @@
 			assert.Equal(t, ev.Total, pkid.Index(o.MaxTokens))
 			return out
 		default:
-			_, twice := out[ev.Index]
-			assert.Assert(t, !twice, "token %d came twice", ev.Index)
+			_, duplicate := out[ev.Index]
+			assert.Assert(t, !duplicate, "duplicate token %d", ev.Index)
 			out[ev.Index] = ev.Text
 		}
 	}
 }
 
-func streamIsWhole(t *testing.T, e EngineUnderTest) {
+func streamIsComplete(t *testing.T, e EngineUnderTest) {
 	const tokens = 20
-	out := e.texts(t, e.request(t, tokens))
+	out := e.readTokens(t, e.request(t, tokens))
 	assert.Equal(t, len(out), tokens)
 	for i := range pkid.Index(tokens) {
 		assert.Assert(t, out[i] != "", strconv.Itoa(int(i)))
@@ -73,21 +73,21 @@
 }
 
 func streamResumes(t *testing.T, e EngineUnderTest) {
-	whole := e.texts(t, e.request(t, 10))
+	complete := e.readTokens(t, e.request(t, 10))
 	o := e.request(t, 10)
 	o.Attempt = 2
 	o.Next = 6
 	for i := range o.Next {
-		o.Delivered += whole[i]
+		o.Delivered += complete[i]
 	}
-	rest := e.texts(t, o)
+	rest := e.readTokens(t, o)
 	assert.Equal(t, len(rest), 4)
 	for i, text := range rest {
-		assert.Equal(t, text, whole[i])
+		assert.Equal(t, text, complete[i])
 	}
 }
 
-func refusesWrongVersion(t *testing.T, e EngineUnderTest) {
+func rejectsWrongVersion(t *testing.T, e EngineUnderTest) {
 	o := e.request(t, 1)
 	o.Version += "-other"
 	_, err := e.Engine.Open(t.Context(), e.Addr, o)
@@ -105,14 +105,14 @@
 		l, err = e.Engine.Load(t.Context(), e.Addr)
 		assert.NilError(t, err)
 	}
-	old := o
-	old.Fence = 4
-	old.Version = "old"
-	assert.ErrorIs(t, e.Engine.Order(t.Context(), e.Addr, old), pkengine.ErrFenced)
-	assert.NilError(t, e.Engine.Order(t.Context(), e.Addr, o), "the same order again is harmless")
+	outdated := o
+	outdated.Fence = 4
+	outdated.Version = "old"
+	assert.ErrorIs(t, e.Engine.Order(t.Context(), e.Addr, outdated), pkengine.ErrFenced)
+	assert.NilError(t, e.Engine.Order(t.Context(), e.Addr, o), "repeating an order is idempotent")
 }
 
-func unreachable(t *testing.T, e EngineUnderTest) {
+func unreachableIsNotRun(t *testing.T, e EngineUnderTest) {
 	_, err := e.Engine.Open(t.Context(), "127.0.0.1:1", pkengine.Open{})
 	var failure *pkverdict.Error
 	assert.Assert(t, errors.As(err, &failure), err)
--- a/pkcontract/memory.go
+++ b/pkcontract/memory.go
@@ -10,31 +10,30 @@
 	"peridotknot.example/pkstore"
 )
 
-// Memory is a store in memory whose calls can be made to fail.
+// Memory is an in-memory store whose writes can be made to fail.
 type Memory struct {
 	mu       sync.Mutex
 	revision pkstore.Revision
 	items    map[string]pkstore.Item
-	owners   map[string]pkstore.LeaseID
+	leaseOf  map[string]pkstore.LeaseID // by key
 	leases   map[pkstore.LeaseID]time.Duration
-	next     pkstore.LeaseID
-	log      []pkstore.Event
-	changed  chan struct{}
-	// Before is called ahead of each write, and After behind it, with the
-	// write; an error from Before keeps the write from happening, one from
-	// After loses its answer.
+	lastID   pkstore.LeaseID
+	events   []pkstore.Event
+	changed  chan struct{} // closed and replaced at each change
+	// Before is called before each write and After after it. An error from Before
+	// prevents the write; one from After is returned although it took effect.
 	Before func(pkstore.Swap) error
 	After  func(pkstore.Swap) error
 }
 
-// ErrLost is the failure of a call whose answer was lost.
-var ErrLost = errors.New("the answer was lost")
+// ErrLost is the error of a call whose response was lost.
+var ErrLost = errors.New("response lost")
 
 // NewMemory returns an empty store.
 func NewMemory() *Memory {
 	return &Memory{
 		items:   map[string]pkstore.Item{},
-		owners:  map[string]pkstore.LeaseID{},
+		leaseOf: map[string]pkstore.LeaseID{},
 		leases:  map[pkstore.LeaseID]time.Duration{},
 		changed: make(chan struct{}),
 	}
@@ -46,26 +45,26 @@
 func (m *Memory) Load(_ context.Context, key string) (pkstore.Item, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if one, found := m.items[key]; found {
-		return one, nil
+	if item, found := m.items[key]; found {
+		return item, nil
 	}
 	return pkstore.Item{Key: key}, nil
 }
 
-// List returns the items under prefix.
+// List returns the items under prefix, in no particular order.
 func (m *Memory) List(_ context.Context, prefix string) ([]pkstore.Item, pkstore.Revision, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []pkstore.Item
-	for key, one := range m.items {
+	for key, item := range m.items {
 		if strings.HasPrefix(key, prefix) {
-			out = append(out, one)
+			out = append(out, item)
 		}
 	}
 	return out, m.revision, nil
 }
 
-// Swap writes if the key is unchanged.
+// Swap writes if the key is at s.Old.
 func (m *Memory) Swap(_ context.Context, s pkstore.Swap) (pkstore.Swapped, error) {
 	if m.Before != nil {
 		if err := m.Before(s); err != nil {
@@ -82,42 +81,42 @@
 func (m *Memory) apply(s pkstore.Swap) (pkstore.Swapped, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if now := m.items[s.Key]; now.Revision != s.Old {
-		now.Key = s.Key
-		return pkstore.Swapped{Item: now}, nil
+	if current := m.items[s.Key]; current.Revision != s.Old {
+		current.Key = s.Key
+		return pkstore.Swapped{Item: current}, nil
 	}
 	if _, found := m.leases[s.Lease]; s.Lease != 0 && !found {
 		return pkstore.Swapped{}, pkstore.ErrNoLease
 	}
 	m.revision++
-	one := pkstore.Item{Key: s.Key, Value: s.Value, Revision: m.revision}
+	written := pkstore.Item{Key: s.Key, Value: s.Value, Revision: m.revision}
 	if s.Delete {
 		delete(m.items, s.Key)
-		delete(m.owners, s.Key)
+		delete(m.leaseOf, s.Key)
 	} else {
-		m.items[s.Key] = one
-		m.owners[s.Key] = s.Lease
+		m.items[s.Key] = written
+		m.leaseOf[s.Key] = s.Lease
 	}
-	m.note(pkstore.Event{Item: one, Deleted: s.Delete})
-	return pkstore.Swapped{Done: true, Item: one}, nil
+	m.publish(pkstore.Event{Item: written, Deleted: s.Delete})
+	return pkstore.Swapped{Done: true, Item: written}, nil
 }
 
-func (m *Memory) note(ev pkstore.Event) {
-	m.log = append(m.log, ev)
+func (m *Memory) publish(ev pkstore.Event) {
+	m.events = append(m.events, ev)
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// Grant begins a lease; it ends only by Expire or Revoke.
+// Grant creates a lease; it does not expire and ends only by Revoke.
 func (m *Memory) Grant(_ context.Context, ttl time.Duration) (pkstore.LeaseID, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.next++
-	m.leases[m.next] = ttl
-	return m.next, nil
+	m.lastID++
+	m.leases[m.lastID] = ttl
+	return m.lastID, nil
 }
 
-// Renew renews a lease.
+// Renew returns pkstore.ErrNoLease if the lease does not exist.
 func (m *Memory) Renew(_ context.Context, id pkstore.LeaseID) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -127,17 +126,17 @@
 	return nil
 }
 
-// Revoke ends a lease and removes its keys.
+// Revoke ends a lease and deletes its keys.
 func (m *Memory) Revoke(_ context.Context, id pkstore.LeaseID) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.leases, id)
-	for key, owner := range m.owners {
-		if owner == id && id != 0 {
+	for key, lease := range m.leaseOf {
+		if lease == id && id != 0 {
 			m.revision++
 			delete(m.items, key)
-			delete(m.owners, key)
-			m.note(pkstore.Event{Item: pkstore.Item{Key: key, Revision: m.revision}, Deleted: true})
+			delete(m.leaseOf, key)
+			m.publish(pkstore.Event{Item: pkstore.Item{Key: key, Revision: m.revision}, Deleted: true})
 		}
 	}
 	return nil
@@ -147,16 +146,16 @@
 func (m *Memory) Watch(ctx context.Context, prefix string, from pkstore.Revision, each func(pkstore.Event)) error {
 	for {
 		m.mu.Lock()
-		var due []pkstore.Event
-		for _, ev := range m.log {
+		var pending []pkstore.Event
+		for _, ev := range m.events {
 			if ev.Item.Revision > from && strings.HasPrefix(ev.Item.Key, prefix) {
-				due = append(due, ev)
+				pending = append(pending, ev)
 			}
 		}
 		from = max(from, m.revision)
 		changed := m.changed
 		m.mu.Unlock()
-		for _, ev := range due {
+		for _, ev := range pending {
 			each(ev)
 		}
 		select {
--- a/pkcontract/memory_test.go
+++ b/pkcontract/memory_test.go
@@ -6,6 +6,6 @@
 	"peridotknot.example/pkstore"
 )
 
-func TestMemoryIsAStore(t *testing.T) {
+func TestMemoryContract(t *testing.T) {
 	Store(t, func(*testing.T) pkstore.Store { return NewMemory() })
 }
--- a/pkcontract/store.go
+++ b/pkcontract/store.go
@@ -11,18 +11,18 @@
 	"peridotknot.example/pkstore"
 )
 
-// Store tests an adapter of pkstore.Store; open returns an empty store.
+// Store runs the contract tests of pkstore.Store; open returns an empty store.
 func Store(t *testing.T, open func(*testing.T) pkstore.Store) {
-	t.Run("a missing key has no revision", func(t *testing.T) {
-		one, err := open(t).Load(t.Context(), "k")
+	t.Run("missing key has no revision", func(t *testing.T) {
+		missing, err := open(t).Load(t.Context(), "k")
 		assert.NilError(t, err)
-		assert.Equal(t, one.Revision, pkstore.Revision(0))
+		assert.Equal(t, missing.Revision, pkstore.Revision(0))
 	})
-	t.Run("a swap from the wrong revision shows who won", func(t *testing.T) { swapLoses(t, open(t)) })
-	t.Run("a deleted key can be created again", func(t *testing.T) { deleteCreates(t, open(t)) })
-	t.Run("a list has its prefix and no more", func(t *testing.T) { listsPrefix(t, open(t)) })
-	t.Run("the keys of a lease go with it", func(t *testing.T) { leaseEnds(t, open(t)) })
-	t.Run("a watch misses nothing from its revision on", func(t *testing.T) { watchSeesAll(t, open(t)) })
+	t.Run("swap from a stale revision returns the current item", func(t *testing.T) { swapFromStaleRevision(t, open(t)) })
+	t.Run("deleted key can be created again", func(t *testing.T) { createAfterDelete(t, open(t)) })
+	t.Run("list has only keys of its prefix", func(t *testing.T) { listByPrefix(t, open(t)) })
+	t.Run("revoking a lease deletes its keys", func(t *testing.T) { revokeDeletesKeys(t, open(t)) })
+	t.Run("watch reports all changes after its revision", func(t *testing.T) { watchFromRevision(t, open(t)) })
 }
 
 func put(t *testing.T, s pkstore.Store, key, value string, old pkstore.Revision) pkstore.Swapped {
@@ -32,7 +32,7 @@
 	return out
 }
 
-func swapLoses(t *testing.T, s pkstore.Store) {
+func swapFromStaleRevision(t *testing.T, s pkstore.Store) {
 	first := put(t, s, "k", "a", 0)
 	assert.Assert(t, first.Done)
 	second := put(t, s, "k", "b", 0)
@@ -44,15 +44,15 @@
 	assert.Assert(t, third.Item.Revision > first.Item.Revision)
 }
 
-func deleteCreates(t *testing.T, s pkstore.Store) {
-	one := put(t, s, "k", "a", 0)
-	out, err := s.Swap(t.Context(), pkstore.Swap{Key: "k", Old: one.Item.Revision, Delete: true})
+func createAfterDelete(t *testing.T, s pkstore.Store) {
+	created := put(t, s, "k", "a", 0)
+	out, err := s.Swap(t.Context(), pkstore.Swap{Key: "k", Old: created.Item.Revision, Delete: true})
 	assert.NilError(t, err)
 	assert.Assert(t, out.Done)
 	assert.Assert(t, put(t, s, "k", "b", 0).Done)
 }
 
-func listsPrefix(t *testing.T, s pkstore.Store) {
+func listByPrefix(t *testing.T, s pkstore.Store) {
 	for _, key := range []string{"a/1", "a/2", "b/1", "a"} {
 		put(t, s, key, key, 0)
 	}
@@ -62,34 +62,34 @@
 	assert.Assert(t, rev >= items[0].Revision && rev >= items[1].Revision)
 }
 
-func leaseEnds(t *testing.T, s pkstore.Store) {
+func revokeDeletesKeys(t *testing.T, s pkstore.Store) {
 	id, err := s.Grant(t.Context(), time.Minute)
 	assert.NilError(t, err)
 	_, err = s.Swap(t.Context(), pkstore.Swap{Key: "k", Value: []byte("v"), Lease: id})
 	assert.NilError(t, err)
 	assert.NilError(t, s.Renew(t.Context(), id))
 	assert.NilError(t, s.Revoke(t.Context(), id))
-	one, err := s.Load(t.Context(), "k")
+	item, err := s.Load(t.Context(), "k")
 	assert.NilError(t, err)
-	assert.Equal(t, one.Revision, pkstore.Revision(0))
+	assert.Equal(t, item.Revision, pkstore.Revision(0))
 	assert.Assert(t, errors.Is(s.Renew(t.Context(), id), pkstore.ErrNoLease))
 }
 
-func watchSeesAll(t *testing.T, s pkstore.Store) {
+func watchFromRevision(t *testing.T, s pkstore.Store) {
 	first := put(t, s, "w/a", "1", 0)
 	put(t, s, "w/a", "2", first.Item.Revision)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	seen := make(chan pkstore.Event, 10)
+	events := make(chan pkstore.Event, 10)
 	ended := make(chan error, 1)
-	go func() { ended <- s.Watch(ctx, "w/", first.Item.Revision, func(ev pkstore.Event) { seen <- ev }) }()
-	ev := <-seen
+	go func() { ended <- s.Watch(ctx, "w/", first.Item.Revision, func(ev pkstore.Event) { events <- ev }) }()
+	ev := <-events
 	assert.Equal(t, string(ev.Item.Value), "2")
 	put(t, s, "x", "other", 0)
 	out, err := s.Swap(t.Context(), pkstore.Swap{Key: "w/a", Old: ev.Item.Revision, Delete: true})
 	assert.NilError(t, err)
 	assert.Assert(t, out.Done)
-	assert.Assert(t, (<-seen).Deleted)
+	assert.Assert(t, (<-events).Deleted)
 	cancel()
 	assert.Assert(t, <-ended != nil)
 }
