--- a/pkplatform/client.go
+++ b/pkplatform/client.go
@@ -18,39 +18,39 @@
 	PathServiceLoad = "/service/v1/load"
 )
 
-const maxReply = 8 << 20
+const maxResponseBytes = 8 << 20
 
-// List is the platform's list of VMs.
+// List is the response of the platform to a request for its VM list.
 type List struct {
 	VMs []pktarget.Listed `json:"vms"`
 }
 
-// ServiceLoad is what a plain service says of its load.
+// ServiceLoad is the load report of a plain service.
 type ServiceLoad struct {
 	Active int `json:"active"`
 	Max    int `json:"max"`
 }
 
-// VMList is the platform's list of VMs; it lags.
+// VMList reads the platform's list of VMs, which can be stale.
 type VMList interface {
 	VMs(ctx context.Context) ([]pktarget.Listed, error)
 }
 
-// Client reads the list and service loads over HTTP.
+// Client reads the VM list and service loads over HTTP.
 type Client struct {
 	addr string
 	http *http.Client
-	// tag is the tag of the last list; it belongs to the one loop that reads
-	// the list.
-	tag string
+	// etag is the ETag of the last list. It is not synchronized: a single
+	// goroutine reads the list.
+	etag string
 }
 
-// ErrSame says that the list is the one that was read last.
+// ErrSame is returned if the list has not changed since it was last read.
 var ErrSame = errors.New("the VM list is unchanged")
 
 var _ VMList = (*Client)(nil)
 
-// New returns a client of the platform at addr, a host and port.
+// New returns a client of the platform at addr, given as host:port.
 func New(addr string, o pkconn.Options) *Client {
 	return &Client{addr: addr, http: &http.Client{Transport: o.Transport()}}
 }
@@ -61,36 +61,37 @@
 	return nil
 }
 
-// VMs returns the platform's list, or ErrSame. The list is asked for twice a
-// second and changes some hundred times a day; at 4,500 targets its body is
-// nearly half a megabyte, so it travels only when its tag has changed.
+// VMs returns the platform's list, or ErrSame. The list is polled often and changes
+// rarely, so the request is conditional on the ETag of the last list.
 func (c *Client) VMs(ctx context.Context) ([]pktarget.Listed, error) {
 	var out List
-	tag, err := c.read(ctx, "http://"+c.addr+PathVMs, c.tag, &out)
+	etag, err := c.read(ctx, "http://"+c.addr+PathVMs, c.etag, &out)
 	if err == nil {
-		c.tag = tag
+		c.etag = etag
 	}
 	return out.VMs, err
 }
 
-// Forget makes the next list be read whole, even if it is unchanged.
-func (c *Client) Forget() { c.tag = "" }
+// Forget drops the ETag, so that the next read returns the list even if it has not
+// changed.
+func (c *Client) Forget() { c.etag = "" }
 
-// ServiceLoad returns the load of the service at addr.
+// ServiceLoad returns the load report of the service at addr.
 func (c *Client) ServiceLoad(ctx context.Context, addr string) (ServiceLoad, error) {
 	var out ServiceLoad
 	_, err := c.read(ctx, "http://"+addr+PathServiceLoad, "", &out)
 	return out, err
 }
 
-// read reads a JSON answer and returns its tag; ErrSame if it still is tag.
-func (c *Client) read(ctx context.Context, url, tag string, out any) (string, error) {
+// read decodes a JSON response into out and returns its ETag, or ErrSame if the ETag
+// is still etag.
+func (c *Client) read(ctx context.Context, url, etag string, out any) (string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
 		return "", fmt.Errorf("platform: %w", err)
 	}
-	if tag != "" {
-		req.Header.Set("If-None-Match", tag)
+	if etag != "" {
+		req.Header.Set("If-None-Match", etag)
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
@@ -103,8 +104,8 @@
 	if resp.StatusCode != http.StatusOK {
 		return "", fmt.Errorf("platform: %s answered %d", url, resp.StatusCode)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxReply)).Decode(out); err != nil {
-		return "", fmt.Errorf("platform: decode answer: %w", err)
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(out); err != nil {
+		return "", fmt.Errorf("platform: decode response: %w", err)
 	}
 	return resp.Header.Get("ETag"), nil
 }
--- a/pkplatform/doc.go
+++ b/pkplatform/doc.go
@@ -1,3 +1,3 @@
-// Package pkplatform is the port to what the platform tells about VMs, and its
-// HTTP adapter: the list of targets and the load reports of plain services.
+// Package pkplatform is the port to the platform's VM list and its HTTP client,
+// which also reads the load reports of plain services.
 package pkplatform
