--- a/pkid/doc.go
+++ b/pkid/doc.go
@@ -1,6 +1,5 @@
-// Package pkid names the things that the router handles. Every id and unit has
-// its own type, so that a pool cannot stand where a target is meant and a
-// layer cannot be counted as a token.
+// Package pkid defines the types of identifiers and units. Each has a type of its
+// own, so that the compiler rejects a pool id in place of a target id.
 //
 // A target is one replica on one VM. Targets that hold parts of the same model
 // form a pool; an entry is one of the router's own VMs.
--- a/pkid/id.go
+++ b/pkid/id.go
@@ -1,77 +1,77 @@
 package pkid
 
-// AccountID names a client account of the manifest.
+// AccountID identifies a client account.
 type AccountID string
 
-// ModelID names a model of the manifest, as callers write it.
+// ModelID identifies a model, in the spelling that callers use.
 type ModelID string
 
-// Version names one build of a model.
+// Version identifies a build of a model.
 type Version string
 
-// AdapterID names an adapter that is loaded beside a model.
+// AdapterID identifies an adapter that is loaded with a model.
 type AdapterID string
 
-// PoolID names a pool of targets that serve the same thing.
+// PoolID identifies a pool of targets that serve the same model or service.
 type PoolID string
 
-// ServiceID names a plain service of the manifest.
+// ServiceID identifies a service.
 type ServiceID string
 
-// TargetID names one replica, a model engine or a plain service, on one VM.
+// TargetID identifies a replica, a model engine or a plain service, on one VM.
 type TargetID string
 
-// Birth is when a replica started, in Unix milliseconds of its own clock; zero where it does
-// not say. Of two starts under one id, the one with the later birth is the present one.
+// Birth is the start time of a replica, in Unix milliseconds of its own clock; zero if unknown.
+// Of two instances with the same id, the one with the later start is current.
 type Birth int64
 
-// EntryID names one of the router's own VMs.
+// EntryID identifies one of the router's own VMs.
 type EntryID string
 
-// DataCenter names a data centre.
+// DataCenter identifies a data centre.
 type DataCenter string
 
-// Region names a group of data centres with short links between them.
+// Region identifies a group of data centres with low latency between them.
 type Region string
 
 // KeyID is the public part of an API key.
 type KeyID string
 
-// RequestID names one caller's request through all its attempts.
+// RequestID identifies a caller's request across all its attempts.
 type RequestID string
 
-// Kind names a kind of accelerator.
+// Kind is a type of accelerator.
 type Kind string
 
-// Role says which part of a request an engine is meant for.
+// Role is the phase of requests that an engine serves.
 type Role string
 
-// Roles an engine can have; the zero value serves both parts.
+// Roles of engines; an engine with the zero value serves both phases.
 const (
 	RoleAny     Role = ""
 	RolePrefill Role = "prefill"
 	RoleDecode  Role = "decode"
 )
 
-// Revision counts accepted manifests; a higher one replaces a lower one.
+// Revision is the number of an accepted manifest; a higher one replaces a lower one.
 type Revision uint64
 
-// Fence is a fencing number: the revision of the store at which a lease began.
+// Fence is a fencing token: the store revision at which a lease was acquired.
 type Fence uint64
 
-// Attempt counts the attempts of one request, from 1.
+// Attempt is the number of an attempt of a request, starting at 1.
 type Attempt uint32
 
-// Index is the place of a token in an answer, from 0.
+// Index is the position of a token in a response, starting at 0.
 type Index int
 
-// Tokens counts tokens.
+// Tokens is a number of tokens.
 type Tokens int
 
-// Layer is the number of a layer of a model, from 0.
+// Layer is the index of a layer of a model, starting at 0.
 type Layer int
 
-// Range is a half-open range of layers.
+// Range is the half-open range of layers [First, End).
 type Range struct {
 	First Layer `json:"first" yaml:"first"`
 	End   Layer `json:"end" yaml:"end"`
