--- a/pkyaml/checker.go
+++ b/pkyaml/checker.go
@@ -1,24 +1,24 @@
 package pkyaml
 
-// Checker collects the faults of a decoded file.
+// Checker collects the faults found while a decoded file is validated.
 type Checker struct {
 	Doc    Doc
 	faults Faults
 }
 
-// Say records a fault at the value that path leads to.
+// Say records a fault at the value that path refers to.
 func (c *Checker) Say(text string, path ...any) {
 	c.faults = append(c.faults, c.Doc.Fault(text, path...))
 }
 
-// Want records a fault unless ok holds.
+// Want records a fault at the value that path refers to unless ok is true.
 func (c *Checker) Want(ok bool, text string, path ...any) {
 	if !ok {
 		c.Say(text, path...)
 	}
 }
 
-// Err returns the faults as a Faults, or nil if there are none.
+// Err returns the collected faults as a Faults, or nil if there are none.
 func (c *Checker) Err() error {
 	if len(c.faults) == 0 {
 		return nil
--- a/pkyaml/decode.go
+++ b/pkyaml/decode.go
@@ -13,7 +13,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Fault is one thing wrong with a file.
+// Fault is one error in a file.
 type Fault struct {
 	File string `json:"file"`
 	Line int    `json:"line"`
@@ -23,31 +23,32 @@
 // String returns the fault as file:line: text.
 func (f Fault) String() string { return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Text) }
 
-// Faults is every fault of a file, as one error.
+// Faults is an error that holds all faults of a file.
 type Faults []Fault
 
-// Error returns one fault a line.
+// Error returns the faults, one per line.
 func (f Faults) Error() string {
-	rows := make([]string, len(f))
-	for i, one := range f {
-		rows[i] = one.String()
+	lines := make([]string, len(f))
+	for i, fault := range f {
+		lines[i] = fault.String()
 	}
-	return strings.Join(rows, "\n")
+	return strings.Join(lines, "\n")
 }
 
-// Doc is a decoded file that still knows the line of each of its values.
+// Doc is a decoded file with the line number of each of its values.
 type Doc struct {
 	file string
 	root *yaml.Node
 }
 
+// Errors of the yaml package that are rewritten for operators.
 var (
 	unknownKey = regexp.MustCompile(`^line (\d+): field (\S+) not found in type \S+$`)
 	wrongType  = regexp.MustCompile("(?s)^line (\\d+): cannot unmarshal \\S+ `?(.*?)`? into (\\S+)$")
 	anyLine    = regexp.MustCompile(`^(?:yaml: )?line (\d+): (.*)$`)
 )
 
-// Decode reads one strict YAML document from data into a T; the error is a
+// Decode decodes the single YAML document in data strictly into a T; the error is a
 // Faults.
 func Decode[T any](file string, data []byte) (T, Doc, error) {
 	var out T
@@ -57,7 +58,7 @@
 		return out, doc, Faults{doc.fault(err.Error())}
 	}
 	if len(root.Content) == 0 {
-		return out, doc, Faults{{File: file, Line: 1, Text: "the file is empty"}}
+		return out, doc, Faults{{File: file, Line: 1, Text: "file is empty"}}
 	}
 	doc.root = root.Content[0]
 	dec := yaml.NewDecoder(bytes.NewReader(data))
@@ -80,8 +81,8 @@
 	return out, doc, nil
 }
 
-// Fault returns a fault at the value that path leads to, or at the nearest
-// parent that the file has. A path is made of keys and list positions.
+// Fault returns a fault at the value that path refers to, or at its nearest parent
+// that the file contains. A path consists of map keys and list indexes.
 func (d Doc) Fault(text string, path ...any) Fault {
 	return Fault{File: d.file, Line: d.line(path), Text: text}
 }
@@ -120,20 +121,22 @@
 	return nil
 }
 
+// fault converts an error text of the yaml package.
 func (d Doc) fault(text string) Fault {
 	text = strings.TrimPrefix(text, "yaml: ")
 	if m := unknownKey.FindStringSubmatch(text); m != nil {
-		return Fault{File: d.file, Line: number(m[1]), Text: fmt.Sprintf("unknown key %q", m[2])}
+		return Fault{File: d.file, Line: lineNumber(m[1]), Text: fmt.Sprintf("unknown key %q", m[2])}
 	}
 	if m := wrongType.FindStringSubmatch(text); m != nil {
-		return Fault{File: d.file, Line: number(m[1]), Text: fmt.Sprintf("found %q, expected %s", m[2], typeName(m[3]))}
+		return Fault{File: d.file, Line: lineNumber(m[1]), Text: fmt.Sprintf("found %q, expected %s", m[2], typeName(m[3]))}
 	}
 	if m := anyLine.FindStringSubmatch(text); m != nil {
-		return Fault{File: d.file, Line: number(m[1]), Text: m[2]}
+		return Fault{File: d.file, Line: lineNumber(m[1]), Text: m[2]}
 	}
 	return Fault{File: d.file, Line: 1, Text: text}
 }
 
+// typeName describes a Go type to operators.
 func typeName(name string) string {
 	switch {
 	case name == "time.Duration":
@@ -151,7 +154,8 @@
 	}
 }
 
-func number(text string) int {
+// lineNumber parses a line number; 1 if it is out of range.
+func lineNumber(text string) int {
 	n, err := strconv.Atoi(text)
 	if err != nil {
 		return 1
--- a/pkyaml/decode_test.go
+++ b/pkyaml/decode_test.go
@@ -13,13 +13,13 @@
 	Many []int         `yaml:"many"`
 }
 
-func TestDecodeSaysWhereAndWhat(t *testing.T) {
+func TestDecodeReportsFaults(t *testing.T) {
 	cases := map[string]struct{ body, want string }{
 		"unknown key":   {"name: a\nnick: b\n", `f.yaml:2: unknown key "nick"`},
 		"wrong unit":    {"wait: 20 parsecs\n", `f.yaml:1: found "20 parsecs", expected a duration such as 250ms or 20s`},
 		"wrong type":    {"many: three\n", `f.yaml:1: found "three", expected a list`},
 		"two documents": {"name: a\n---\nname: b\n", "f.yaml:1: expected one document, found more"},
-		"empty":         {"", "f.yaml:1: the file is empty"},
+		"empty":         {"", "f.yaml:1: file is empty"},
 		"two faults":    {"nick: b\nwait: x\n", "f.yaml:1: unknown key \"nick\"\nf.yaml:2: found \"x\", expected a duration such as 250ms or 20s"},
 	}
 	for name, c := range cases {
--- a/pkyaml/doc.go
+++ b/pkyaml/doc.go
@@ -1,4 +1,4 @@
-// Package pkyaml reads YAML strictly. An unknown key, a wrong type or a second
-// document is refused with file, line and what was expected, and all faults of
-// a file are reported at once.
+// Package pkyaml decodes YAML strictly: unknown keys, wrong types and additional
+// documents are errors. All faults of a file are reported at once, each with file,
+// line and the expected type.
 package pkyaml
