--- a/pklog/doc.go
+++ b/pklog/doc.go
@@ -1,5 +1,5 @@
-// Package pklog writes log lines without ever holding up what logs.
+// Package pklog writes log lines without blocking the callers that log.
 //
-// A Writer takes whole lines, bounds how many pass in a second and how many wait,
-// counts what it leaves out and says so in a line of its own.
+// A Writer queues whole lines in a bounded queue, limits their rate, and drops lines
+// beyond these limits. It reports the number of dropped lines in a log line.
 package pklog
--- a/pklog/writer.go
+++ b/pklog/writer.go
@@ -9,33 +9,33 @@
 )
 
 const (
-	// waiting is how many lines may wait for a slow reader: two seconds' worth.
-	waiting = 1024
-	// perSecond bounds the lines of a second: five times what a busy entry logs.
-	perSecond = 500
+	// queueSize is how many lines are queued for a slow reader.
+	queueSize = 1024
+	// maxPerSecond bounds the lines accepted in one second.
+	maxPerSecond = 500
 )
 
-// Writer is an io.Writer of whole lines that does not block; Close waits until all
-// taken lines are written.
+// Writer is an io.Writer of whole lines that does not block; Close waits until the
+// queued lines are written.
 type Writer struct {
-	to      io.Writer
-	lines   chan []byte
+	out     io.Writer
+	queue   chan []byte
 	dropped atomic.Int64
 	mu      sync.Mutex
-	second  int64
-	count   int
+	second  int64 // Unix time that count belongs to
+	count   int   // lines offered in that second
 	closed  bool
 	done    chan struct{}
 }
 
-// NewWriter returns a writer to w.
+// NewWriter returns a Writer to w and starts the goroutine that writes.
 func NewWriter(w io.Writer) *Writer {
-	out := &Writer{to: w, lines: make(chan []byte, waiting), done: make(chan struct{})}
-	go out.run()
-	return out
+	writer := &Writer{out: w, queue: make(chan []byte, queueSize), done: make(chan struct{})}
+	go writer.run()
+	return writer
 }
 
-// Write takes one line.
+// Write queues one line or drops it; it never returns an error.
 func (w *Writer) Write(p []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -44,7 +44,7 @@
 		return len(p), nil
 	}
 	select {
-	case w.lines <- append([]byte(nil), p...):
+	case w.queue <- append([]byte(nil), p...):
 	default:
 		w.dropped.Add(1)
 	}
@@ -56,13 +56,13 @@
 		w.second, w.count = second, 0
 	}
 	w.count++
-	return w.count <= perSecond
+	return w.count <= maxPerSecond
 }
 
-// Dropped returns how many lines were left out.
+// Dropped returns the number of dropped lines.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// Close writes what waits and ends the writer.
+// Close writes the queued lines and stops the writer; later lines are dropped.
 func (w *Writer) Close() error {
 	w.mu.Lock()
 	if w.closed {
@@ -70,7 +70,7 @@
 		return nil
 	}
 	w.closed = true
-	close(w.lines)
+	close(w.queue)
 	w.mu.Unlock()
 	<-w.done
 	return nil
@@ -78,13 +78,13 @@
 
 func (w *Writer) run() {
 	defer close(w.done)
-	said := int64(0)
-	for line := range w.lines {
-		// A log that cannot be written has nowhere to say so.
-		_, _ = w.to.Write(line)
-		if n := w.dropped.Load(); n > said {
-			said = n
-			_, _ = fmt.Fprintf(w.to, "{\"@level\":\"warn\",\"@message\":\"log lines were left out\",\"count\":%d}\n", n)
+	reported := int64(0)
+	for line := range w.queue {
+		// There is nowhere to report a failure to write the log.
+		_, _ = w.out.Write(line)
+		if n := w.dropped.Load(); n > reported {
+			reported = n
+			_, _ = fmt.Fprintf(w.out, "{\"@level\":\"warn\",\"@message\":\"log lines were left out\",\"count\":%d}\n", n)
 		}
 	}
 }
--- a/pklog/writer_test.go
+++ b/pklog/writer_test.go
@@ -11,44 +11,44 @@
 	"gotest.tools/v3/assert"
 )
 
-// blocked is a reader of logs that has stopped reading.
-type blocked struct{ free chan struct{} }
+// blockedWriter blocks until unblock is closed.
+type blockedWriter struct{ unblock chan struct{} }
 
-func (b blocked) Write(p []byte) (int, error) {
-	<-b.free
+func (b blockedWriter) Write(p []byte) (int, error) {
+	<-b.unblock
 	return len(p), nil
 }
 
-// What reads the logs stops reading. What logs must go on, and the lines that were left
-// out must be counted once it reads again.
-func TestASlowReaderHoldsNothingUp(t *testing.T) {
-	free := make(chan struct{})
+// The reader of the log stops reading. Callers that log must not block, and the dropped
+// lines must be counted and reported once it reads again.
+func TestBlockedReaderDoesNotBlockCallers(t *testing.T) {
+	unblock := make(chan struct{})
 	var read bytes.Buffer
-	w := NewWriter(io.MultiWriter(blocked{free}, &read))
-	const lines = 3 * waiting
+	w := NewWriter(io.MultiWriter(blockedWriter{unblock}, &read))
+	const lines = 3 * queueSize
 	for range lines {
 		n, err := w.Write([]byte("{}\n"))
 		assert.NilError(t, err)
 		assert.Equal(t, n, 3)
 	}
-	close(free)
+	close(unblock)
 	assert.NilError(t, w.Close())
-	whole := strings.Count(read.String(), "{}\n")
-	assert.Assert(t, whole > 0 && whole < lines, "%d of %d lines came", whole, lines)
-	var note struct {
+	written := strings.Count(read.String(), "{}\n")
+	assert.Assert(t, written > 0 && written < lines, "%d of %d lines written", written, lines)
+	var report struct {
 		Message string `json:"@message"`
 		Count   int    `json:"count"`
 	}
 	for line := range strings.Lines(read.String()) {
 		if strings.Contains(line, "left out") {
-			assert.NilError(t, json.Unmarshal([]byte(line), &note))
+			assert.NilError(t, json.Unmarshal([]byte(line), &report))
 		}
 	}
-	assert.Equal(t, note.Message, "log lines were left out")
-	assert.Equal(t, note.Count+whole, lines)
+	assert.Equal(t, report.Message, "log lines were left out")
+	assert.Equal(t, report.Count+written, lines)
 }
 
-// BenchmarkRequestLine is the cost of the line that each request has.
+// BenchmarkRequestLine measures the log line that is written for each request.
 func BenchmarkRequestLine(b *testing.B) {
 	w := NewWriter(io.Discard)
 	log := hclog.New(&hclog.LoggerOptions{Name: "peridotknot-edge", Level: hclog.Info, JSONFormat: true, Output: w})
