--- a/pktimer/boot.go
+++ b/pktimer/boot.go
@@ -6,15 +6,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot returns the time since the VM's start, as a time without a monotonic part.
+// Boot returns the time since boot as a time.Time without a monotonic reading.
 //
-// The monotonic clock stands still while a VM is suspended, and the time of day
-// can be set back: an owner that measures its lease by either goes on to act after
-// the lease has ended. CLOCK_BOOTTIME counts through both.
+// CLOCK_MONOTONIC does not advance while the VM is suspended, and the wall clock can
+// be set back: the owner of a lease that used either could act after the lease has
+// expired. CLOCK_BOOTTIME is affected by neither.
 func Boot() time.Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// The clock is there on every Linux; a wrong answer would break leases.
+		// All supported kernels have this clock; leases are unsafe without it.
 		panic(err)
 	}
 	return time.Unix(ts.Sec, ts.Nsec).UTC()
--- a/pktimer/doc.go
+++ b/pktimer/doc.go
@@ -1,2 +1,3 @@
-// Package pktimer waits in ways that end with a context.
+// Package pktimer provides waits and periodic calls that end with a context, and a
+// clock that includes the time in suspend.
 package pktimer
--- a/pktimer/timer.go
+++ b/pktimer/timer.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep waits for d and says false if ctx ended before.
+// Sleep waits for d; it returns false if ctx is done first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -17,8 +17,7 @@
 	}
 }
 
-// SleepOr waits for d, or until something comes from a channel, and says false if ctx ended
-// before.
+// SleepOr waits for d or a receive from wake; it returns false if ctx is done first.
 func SleepOr(ctx context.Context, d time.Duration, wake <-chan struct{}) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -31,14 +30,14 @@
 	return true
 }
 
-// Every calls do at once and then each period until ctx ends.
+// Every calls do immediately and then once per period until ctx is done.
 func Every(ctx context.Context, period time.Duration, do func(context.Context)) {
 	EveryOr(ctx, period, nil, do, nil)
 }
 
-// EveryOr calls do at once and then each period, and early where something comes from
-// a channel in between, until ctx ends.
-func EveryOr(ctx context.Context, period time.Duration, wake <-chan struct{}, do, early func(context.Context)) {
+// EveryOr calls do immediately and then once per period until ctx is done. On each
+// receive from wake in between it calls onWake.
+func EveryOr(ctx context.Context, period time.Duration, wake <-chan struct{}, do, onWake func(context.Context)) {
 	t := time.NewTicker(period)
 	defer t.Stop()
 	do(ctx)
@@ -49,7 +48,7 @@
 		case <-t.C:
 			do(ctx)
 		case <-wake:
-			early(ctx)
+			onWake(ctx)
 		}
 	}
 }
