--- a/pkversion/doc.go
+++ b/pkversion/doc.go
@@ -1,2 +1,2 @@
-// Package pkversion says which build of the router this is.
+// Package pkversion reports the version of the running build.
 package pkversion
--- a/pkversion/version.go
+++ b/pkversion/version.go
@@ -6,11 +6,11 @@
 	"runtime/debug"
 )
 
-// stamp is set by the linker for a release: -X peridotknot.example/pkversion.stamp=v1.
+// stamp is the version of a release, set with -ldflags "-X peridotknot.example/pkversion.stamp=v1".
 var stamp string
 
-// Text returns the version, the commit if the build knows it, and the
-// compiler.
+// Text returns the version, the commit if it is recorded in the build, and the version
+// of Go.
 func Text() string {
 	version, commit := stamp, ""
 	if info, ok := debug.ReadBuildInfo(); ok {
