--- a/pkcli/daemon.go
+++ b/pkcli/daemon.go
@@ -5,14 +5,14 @@
 	"os"
 )
 
-// daemonOptions is the command line of a daemon.
+// daemonOptions holds the options of a daemon.
 type daemonOptions struct {
 	Common
 	Check bool `long:"check" description:"check the settings file and exit"`
 }
 
-// Daemon reads a daemon's command line and settings and serves; it returns the exit
-// code. The settings file is the given one where the command line names none.
+// Daemon parses a daemon's command line and settings file, calls serve and returns the
+// exit code. If the command line has no settings file, file is used.
 func Daemon[S any](file string, parse func(file string, body []byte) (S, error), serve func(s S, file string) error) int {
 	o := daemonOptions{Common: Common{Settings: file}}
 	if code, exit := Parse(&o, &o.Common); exit {
--- a/pkcli/doc.go
+++ b/pkcli/doc.go
@@ -1,3 +1,3 @@
-// Package pkcli is what the programs' command lines have in common: exit codes,
-// help and version.
+// Package pkcli holds what the command lines of the programs share: exit codes, help,
+// version and the settings file.
 package pkcli
--- a/pkcli/parse.go
+++ b/pkcli/parse.go
@@ -17,24 +17,24 @@
 	ExitBadInput = 2
 )
 
-// Common is the options that daemons share.
+// Common holds the options that all daemons share.
 type Common struct {
 	Settings string `long:"settings" description:"settings file, YAML"`
 	Version  bool   `long:"version" description:"print the version and exit"`
 }
 
-// Parse reads the command line of a daemon into data, which embeds Common. It
-// says whether the program should exit now, and with which code.
+// Parse parses the command line of a daemon into data, which embeds common. It reports
+// whether the program should exit, and with which code.
 func Parse(data any, common *Common) (code int, exit bool) {
-	rest, err := flags.Parse(data)
+	args, err := flags.Parse(data)
 	if IsHelp(err) {
 		return ExitOK, true
 	}
 	if err != nil {
 		return ExitBadInput, true
 	}
-	if len(rest) > 0 {
-		fmt.Fprintf(os.Stderr, "unexpected argument %q\n", rest[0])
+	if len(args) > 0 {
+		fmt.Fprintf(os.Stderr, "unexpected argument %q\n", args[0])
 		return ExitBadInput, true
 	}
 	if common.Version {
@@ -42,13 +42,13 @@
 		return ExitOK, true
 	}
 	if common.Settings == "" {
-		fmt.Fprintln(os.Stderr, "--settings FILE is missing")
+		fmt.Fprintln(os.Stderr, "missing option: --settings FILE")
 		return ExitBadInput, true
 	}
 	return ExitOK, false
 }
 
-// ReadSettings reads the settings file and has it parsed.
+// ReadSettings reads the settings file and calls parse with its content.
 func (c Common) ReadSettings(parse func(file string, body []byte) error) error {
 	raw, err := os.ReadFile(c.Settings)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return parse(c.Settings, raw)
 }
 
-// IsHelp says whether an error is the help that was asked for.
+// IsHelp reports whether err is the result of a request for help.
 func IsHelp(err error) bool {
 	var flagErr *flags.Error
 	return errors.As(err, &flagErr) && flagErr.Type == flags.ErrHelp
