--- a/pkedge/broadcast.go
+++ b/pkedge/broadcast.go
@@ -108,7 +108,7 @@
 		return 0
 	}
 	held := t.Held.Len()
-	return max(loadThresholdShare*s.Engine.Room(t.Kind, held)*float64(held), 0)
+	return max(loadThresholdShare*s.Engine.KVCapacity(t.Kind, held)*float64(held), 0)
 }
 
 // encode returns an encoded message, or nil if that fails.
--- a/pkedge/choose.go
+++ b/pkedge/choose.go
@@ -39,7 +39,7 @@
 // newPathQuery returns the query for a complete path; sends is the number of times that the request
 // was sent before.
 func (d *Daemon) newPathQuery(s *pkconfig.Service, tokens float64, sends int) pathQuery {
-	q := pathQuery{layers: s.Engine.All(), tokens: tokens, from: d.settings.DataCenter, memoryShare: maxMemoryShare, maxCost: maxTokenCost(defaultMaxPause, s.Engine)}
+	q := pathQuery{layers: s.Engine.AllLayers(), tokens: tokens, from: d.settings.DataCenter, memoryShare: maxMemoryShare, maxCost: maxTokenCost(defaultMaxPause, s.Engine)}
 	if sends > 0 {
 		q.memoryShare, q.maxCost, q.urgent = 1, 0, true
 	}
@@ -96,12 +96,12 @@
 			continue
 		}
 		if q.urgent {
-			cost += time.Duration(float64(m.ReadTime(t.Kind, 1, q.tokens)) / urgentAmortTokens)
+			cost += time.Duration(float64(m.PrefillTime(t.Kind, 1, q.tokens)) / urgentAmortTokens)
 		}
 		cost = time.Duration(float64(cost) * float64(d.paces.Factor(now, t.ID, t.Born)))
 		engines = append(engines, pklayers.Engine{
 			ID: t.ID, DataCenter: t.DataCenter, Kind: t.Kind, Held: t.Held, Cost: cost,
-			Enter: batchWait(t.Held.Len(), cost) + time.Duration(float64(t.Backlog(now, entries))/q.amortTokens(m)),
+			QueueDelay: batchWait(t.Held.Len(), cost) + time.Duration(float64(t.Backlog(now, entries))/q.amortTokens(m)),
 		})
 	}
 	costs := d.pathCosts(now, m, q)
@@ -110,7 +110,7 @@
 		return targetPath{}, false
 	}
 	out := targetPath{cost: p.Cost}
-	for _, part := range p.Parts {
+	for _, part := range p.Stages {
 		at, _ := slices.BinarySearchFunc(live, part.ID, func(t *pkreplica.Target, id pkid.TargetID) int { return cmp.Compare(t.ID, id) })
 		out.add(live[at], part)
 	}
@@ -120,19 +120,19 @@
 // liveEngines returns the live engines of a pool at now, without those listed with layers that the
 // model does not have.
 func (d *Daemon) liveEngines(now time.Time, s pkid.ServiceID, m *pklayers.Model) []*pkreplica.Target {
-	return slices.DeleteFunc(d.roster.Live(now, s), func(t *pkreplica.Target) bool { return !m.Has(t.Held) })
+	return slices.DeleteFunc(d.roster.Live(now, s), func(t *pkreplica.Target) bool { return !m.Contains(t.Held) })
 }
 
 // pathCosts returns the costs of passing between engines at now.
 func (d *Daemon) pathCosts(now time.Time, m *pklayers.Model, q pathQuery) pklayers.Costs {
 	entries := d.entryCount(now)
 	cache := map[[2]pkid.DataCenter]time.Duration{}
-	out := pklayers.Costs{Hop: hopCost, Most: q.maxCost, Reach: m.Delay, Crossing: func(a, b pkid.DataCenter) time.Duration {
+	out := pklayers.Costs{Hop: hopCost, MaxCost: q.maxCost, Reach: m.Delay, Crossing: func(a, b pkid.DataCenter) time.Duration {
 		pair := [2]pkid.DataCenter{a, b}
 		cost, found := cache[pair]
 		if !found {
-			own := d.pipes.Own(now, a, b)
-			cost = m.Delay(a, b) + m.PipeCost(own+d.gossip.table.Flow(now, entries, a, b, own))
+			own := d.pipes.InFlight(now, a, b)
+			cost = m.Delay(a, b) + m.LinkCost(own+d.gossip.table.Flow(now, entries, a, b, own))
 			unreported := unreportedPromptRate * d.gossip.reportDelay().Seconds()
 			cost += time.Duration(unreported * float64(m.TransferTime(float64(m.PromptTokens))))
 			first := m.TransferTime(q.tokens) + d.pipes.Backlog(now, a, b)*time.Duration(entries)
@@ -164,12 +164,12 @@
 
 // layerCost returns the time that an engine takes per token and layer, which grows as its memory
 // fills, and whether it has room for the request.
-func layerCost(now time.Time, m *pklayers.Model, t *pkreplica.Target, q pathQuery, entries int, crowding pklayers.Crowding) (time.Duration, bool) {
+func layerCost(now time.Time, m *pklayers.Model, t *pkreplica.Target, q pathQuery, entries int, crowding pklayers.MemoryPenalty) (time.Duration, bool) {
 	held := t.Held.Len()
 	if held == 0 {
 		return 0, false
 	}
-	room := m.Room(t.Kind, held) * float64(held)
+	room := m.KVCapacity(t.Kind, held) * float64(held)
 	used := t.Likely(now, entries) + q.tokens*float64(held)
 	fill := used / room
 	if room <= 0 || fill > q.memoryShare {
--- a/pkedge/choose_test.go
+++ b/pkedge/choose_test.go
@@ -27,14 +27,14 @@
 		{false, 0.05, true},
 	} {
 		d, s := poolDaemon(engine("a", "home", 0, 40), engine("b", "home", 40, 80), engine("far", "away", 40, 80))
-		s.Engine.Kinds["fast"] = pklayers.Accelerator{MemoryMB: 90000, StepFactor: 8, ReadFactor: 3}
+		s.Engine.Kinds["fast"] = pklayers.Accelerator{MemoryMB: 90000, StepFactor: 8, PrefillFactor: 3}
 		far := engine("far", "away", 40, 80)
 		far.Kind = "fast"
 		d.applyListEntry(time.Now(), 2, far)
 		d.settings.DataCenter = "home"
 		d.gossip.withHubs.Store(row.hubs)
 		now := time.Now()
-		full := s.Engine.Room("l4", 40) * 40
+		full := s.Engine.KVCapacity("l4", 40) * 40
 		d.target(t, "b").Begin(now.Add(-time.Minute), row.used*full, 0, time.Millisecond)
 		p, found := d.choosePath(now, s, 900, 0)
 		assert.Assert(t, found)
@@ -55,7 +55,7 @@
 	}{{1, 100, true}, {3, 100, false}, {3, 50, true}, {1, 300, false}, {0, 100, true}} {
 		d, s := poolDaemon(slow)
 		s.Engine.EventTokens = row.tokens
-		s.Engine.Kinds["l4"] = pklayers.Accelerator{MemoryMB: 180_000, StepFactor: row.factor, ReadFactor: 1}
+		s.Engine.Kinds["l4"] = pklayers.Accelerator{MemoryMB: 180_000, StepFactor: row.factor, PrefillFactor: 1}
 		c := &call{Daemon: d, route: &pkconfig.Route{PauseObjective: pause}}
 		_, found := c.nextPath(time.Now(), s)
 		assert.Equal(t, found, row.want, "%+v", row)
--- a/pkedge/daemon.go
+++ b/pkedge/daemon.go
@@ -64,9 +64,9 @@
 	book   pkconfig.Book
 	roster pkreplica.Roster
 	paces  pkpace.Table
-	pipes  pklayers.Pipes
+	pipes  pklayers.LinkUsage
 	// crowding is how the cost of an engine grows as its memory fills.
-	crowding pklayers.Crowding
+	crowding pklayers.MemoryPenalty
 	members  members
 	store    breaker
 	// watches are the watches of the store in progress.
@@ -105,7 +105,7 @@
 
 // New returns a daemon whose listeners are open. Requests are served once Run is called.
 func New(s Settings, p Ports, log hclog.Logger) (*Daemon, error) {
-	d := &Daemon{Ports: p, settings: s, log: log, configured: make(chan struct{}), crowding: pklayers.FreeCrowding}
+	d := &Daemon{Ports: p, settings: s, log: log, configured: make(chan struct{}), crowding: pklayers.InversePenalty}
 	d.retry.Store(&s.Retry)
 	d.seeds.Store(&s.Seeds)
 	d.streams.wake = make(chan struct{}, 1)
--- a/pkedge/load_test.go
+++ b/pkedge/load_test.go
@@ -25,7 +25,7 @@
 	// reportDelay is the largest age of the other entries' loads.
 	reportDelay time.Duration
 	// crowding is the policy under test.
-	crowding pklayers.Crowding
+	crowding pklayers.MemoryPenalty
 }
 
 // simResult is the outcome of a simulation.
@@ -49,11 +49,11 @@
 // 940 tokens.
 func mixedModel() *pklayers.Model {
 	return &pklayers.Model{
-		Layers: 80, LayerMB: 1750, TokenBytes: 393000, ActivationBytes: 19700, PipeMbps: 4100, EngineTokens: 100_000,
-		Step: 850 * time.Microsecond, ReadPerSecond: 294_000, Chunk: 512, PromptTokens: 762, AnswerTokens: 179,
+		Layers: 80, LayerMB: 1750, TokenBytes: 393000, ActivationBytes: 19700, LinkMbps: 4100, EngineTokens: 100_000,
+		Step: 850 * time.Microsecond, PrefillPerSecond: 294_000, Chunk: 512, PromptTokens: 762, AnswerTokens: 179,
 		Kinds: map[pkid.Kind]pklayers.Accelerator{
-			"h100": {MemoryMB: 72000, StepFactor: 1.4, ReadFactor: 1}, "a100s": {MemoryMB: 36000, StepFactor: 3.1, ReadFactor: 3.2},
-			"l4": {MemoryMB: 21600, StepFactor: 16, ReadFactor: 8.2}, "t4": {MemoryMB: 14400, StepFactor: 15, ReadFactor: 15},
+			"h100": {MemoryMB: 72000, StepFactor: 1.4, PrefillFactor: 1}, "a100s": {MemoryMB: 36000, StepFactor: 3.1, PrefillFactor: 3.2},
+			"l4": {MemoryMB: 21600, StepFactor: 16, PrefillFactor: 8.2}, "t4": {MemoryMB: 14400, StepFactor: 15, PrefillFactor: 15},
 		},
 	}
 }
@@ -76,11 +76,11 @@
 		{"c", "l4", 20},
 		{"c", "t4", 9},
 	}
-	var cards []pklayers.Card
+	var cards []pklayers.Placement
 	for _, one := range counts {
 		for i := range one.n {
 			id := pkid.TargetID(fmt.Sprintf("%s-%s-%d", one.dc, one.kind, i))
-			cards = append(cards, pklayers.Card{ID: id, DataCenter: one.dc, Kind: one.kind})
+			cards = append(cards, pklayers.Placement{ID: id, DataCenter: one.dc, Kind: one.kind})
 		}
 	}
 	laid := pklayers.Plan(m, cards, time.Minute)
@@ -178,7 +178,7 @@
 	for _, d := range daemons {
 		for _, t := range d.roster.All() {
 			t.SetOthers(pkreplica.Load{Tokens: sum[t.ID] - t.Own().Tokens})
-			fullest = max(fullest, sum[t.ID]/(m.Room(t.Kind, t.Held.Len())*float64(t.Held.Len())))
+			fullest = max(fullest, sum[t.ID]/(m.KVCapacity(t.Kind, t.Held.Len())*float64(t.Held.Len())))
 		}
 	}
 	return fullest
@@ -190,7 +190,7 @@
 func TestRequestsStayOnFastEnginesWhileThereIsRoom(t *testing.T) {
 	load := loadSim{entries: 67, perSecond: 190, duration: 8 * time.Second, reportDelay: 450 * time.Millisecond}
 	early, free := load, load
-	early.crowding, free.crowding = pklayers.EarlyCrowding, pklayers.FreeCrowding
+	early.crowding, free.crowding = pklayers.EarlyPenalty, pklayers.InversePenalty
 	// Requests of a data centre that are not yet reported may come on top of the limit.
 	unreported := load.perSecond / 3 * load.reportDelay.Seconds() * 940
 	most := maxMemoryShare + unreported/float64(mixedModel().EngineTokens)
--- a/pkedge/path.go
+++ b/pkedge/path.go
@@ -13,17 +13,17 @@
 
 // targetPath is a path with its targets.
 type targetPath struct {
-	parts   []pklayers.Part
+	parts   []pklayers.Stage
 	targets []*pkreplica.Target
 	hops    []pkforward.Hop
 	// cost is the cost per token at the time of the choice.
 	cost time.Duration
 }
 
-func (p *targetPath) add(t *pkreplica.Target, part pklayers.Part) {
+func (p *targetPath) add(t *pkreplica.Target, part pklayers.Stage) {
 	p.parts = append(p.parts, part)
 	p.targets = append(p.targets, t)
-	p.hops = append(p.hops, pkforward.Hop{Addr: t.Addr, Part: part})
+	p.hops = append(p.hops, pkforward.Hop{Addr: t.Addr, Stage: part})
 }
 
 func (p targetPath) first() *pkreplica.Target { return p.targets[0] }
@@ -76,13 +76,13 @@
 
 // reserve adds the load of a request, in tokens, to the path's targets and pipes; its prompt is yet
 // to be read, and the other entries learn of it after reportDelay.
-func (p targetPath) reserve(now time.Time, m *pklayers.Model, pipes *pklayers.Pipes, tokens, prompt float64, reportDelay time.Duration) {
+func (p targetPath) reserve(now time.Time, m *pklayers.Model, pipes *pklayers.LinkUsage, tokens, prompt float64, reportDelay time.Duration) {
 	var before pkid.DataCenter
 	for i, t := range p.targets {
 		layers := p.parts[i].Layers.Len()
 		read := time.Duration(0)
 		if m != nil {
-			read = m.ReadTime(t.Kind, layers, prompt)
+			read = m.PrefillTime(t.Kind, layers, prompt)
 		}
 		t.Begin(now, tokens*float64(layers), read, reportDelay)
 		if i > 0 && t.DataCenter != before {
--- a/pkedge/replicas.go
+++ b/pkedge/replicas.go
@@ -89,7 +89,7 @@
 	switch {
 	case !found:
 		return "service"
-	case s.Engine != nil && !s.Engine.Has(one.Info.Held):
+	case s.Engine != nil && !s.Engine.Contains(one.Info.Held):
 		return "layers"
 	default:
 		return ""
--- a/pkedge/reroute_test.go
+++ b/pkedge/reroute_test.go
@@ -32,7 +32,7 @@
 
 // poolDaemon returns a daemon that knows the engines of one model and runs no loops.
 func poolDaemon(infos ...pkreplica.Info) (*Daemon, *pkconfig.Service) {
-	d := &Daemon{log: hclog.NewNullLogger(), crowding: pklayers.FreeCrowding}
+	d := &Daemon{log: hclog.NewNullLogger(), crowding: pklayers.InversePenalty}
 	d.gossip.suspects = map[pkid.TargetID]suspicion{}
 	var records []pkreplica.Record
 	for _, info := range infos {
@@ -42,9 +42,9 @@
 	}
 	d.roster.Apply(time.Now(), records, 1)
 	return d, &pkconfig.Service{ID: "models", Engine: &pklayers.Model{
-		Layers: 80, LayerMB: 1750, TokenBytes: 426000, ActivationBytes: 21300, PipeMbps: 9300,
-		Step: 850 * time.Microsecond, ReadPerSecond: 272000, Chunk: 512, PromptTokens: 772, AnswerTokens: 145,
-		Kinds: map[pkid.Kind]pklayers.Accelerator{"l4": {MemoryMB: 90000, StepFactor: 16, ReadFactor: 8.2}},
+		Layers: 80, LayerMB: 1750, TokenBytes: 426000, ActivationBytes: 21300, LinkMbps: 9300,
+		Step: 850 * time.Microsecond, PrefillPerSecond: 272000, Chunk: 512, PromptTokens: 772, AnswerTokens: 145,
+		Kinds: map[pkid.Kind]pklayers.Accelerator{"l4": {MemoryMB: 90000, StepFactor: 16, PrefillFactor: 8.2}},
 	}}
 }
 
@@ -61,7 +61,7 @@
 	for _, id := range ids {
 		one, found := d.roster.Target(id)
 		assert.Assert(t, found)
-		p.add(one, pklayers.Part{ID: id, Layers: one.Held})
+		p.add(one, pklayers.Stage{ID: id, Layers: one.Held})
 	}
 	return &attempt{call: c, service: s, tokens: 900, path: p}
 }
@@ -87,8 +87,8 @@
 	d.settings.DataCenter = "a"
 	now := time.Now()
 	near, _ := d.roster.Target("near")
-	near.Begin(now, 0.2*s.Engine.Room("l4", 40)*40, 0, 0)
-	query := pathQuery{layers: s.Engine.All(), tokens: 900, from: "a", memoryShare: 1}
+	near.Begin(now, 0.2*s.Engine.KVCapacity("l4", 40)*40, 0, 0)
+	query := pathQuery{layers: s.Engine.AllLayers(), tokens: 900, from: "a", memoryShare: 1}
 	p, found := d.findPath(now, s, query)
 	assert.Assert(t, found)
 	assert.Equal(t, p.targets[1].ID, pkid.TargetID("far"), "a new request takes the engine with more room")
--- a/pkedge/scale_bench_test.go
+++ b/pkedge/scale_bench_test.go
@@ -17,10 +17,10 @@
 func scaleDaemon(engines int) (*Daemon, *pkconfig.Service) {
 	m := mixedModel()
 	kinds := []pkid.Kind{"h100", "a100s", "a100s", "l4", "l4", "l4", "l4", "l4", "t4", "t4", "t4", "t4"}
-	var cards []pklayers.Card
+	var cards []pklayers.Placement
 	for i := range engines {
 		dc := pkid.DataCenter(fmt.Sprintf("d%d", i%3))
-		cards = append(cards, pklayers.Card{ID: pkid.TargetID(fmt.Sprintf("i-%08d", i)), DataCenter: dc, Kind: kinds[i/3%len(kinds)]})
+		cards = append(cards, pklayers.Placement{ID: pkid.TargetID(fmt.Sprintf("i-%08d", i)), DataCenter: dc, Kind: kinds[i/3%len(kinds)]})
 	}
 	laid := pklayers.Plan(m, cards, time.Minute)
 	var infos []pkreplica.Info
--- a/pkedge/stream.go
+++ b/pkedge/stream.go
@@ -171,7 +171,7 @@
 	if !found {
 		return targetPath{}, false
 	}
-	return targetPath{parts: []pklayers.Part{{ID: t.ID}}, targets: []*pkreplica.Target{t}}, true
+	return targetPath{parts: []pklayers.Stage{{ID: t.ID}}, targets: []*pkreplica.Target{t}}, true
 }
 
 // pathQuery returns the query for a path of the request.
--- a/pkforward/exchange.go
+++ b/pkforward/exchange.go
@@ -41,7 +41,7 @@
 // Hop is one engine of a path with its address and layers.
 type Hop struct {
 	Addr string
-	pklayers.Part
+	pklayers.Stage
 }
 
 // Head is the metadata from the headers of a response.
--- a/pklayers/group.go
+++ b/pklayers/group.go
@@ -9,7 +9,7 @@
 // and one for all others together. Between data centres the activations of the whole prompt are
 // transferred and delay the tokens of all other streams on the link, so a path should leave its
 // data centre only for layers that are missing there.
-func groups(m *Model, engines []Card) []group {
+func groups(m *Model, engines []Placement) []group {
 	var out []group
 	layers := map[pkid.DataCenter]int{}
 	nominal := map[pkid.Kind]int{}
@@ -53,11 +53,11 @@
 // nominalLayers returns how many layers an accelerator holds beside the nominal capacity, or in
 // defaultLayerShare of its memory where the nominal capacity is unknown.
 func (m *Model) nominalLayers(k pkid.Kind) int {
-	n := m.Most(k)
+	n := m.MaxLayers(k)
 	if m.nominalCapacity() == 0 {
 		return max(int(defaultLayerShare*float64(n)), 1)
 	}
-	for n > 1 && m.Room(k, n) < m.nominalCapacity() {
+	for n > 1 && m.KVCapacity(k, n) < m.nominalCapacity() {
 		n--
 	}
 	return n
@@ -66,8 +66,8 @@
 // minCapacityLayers returns how many layers an accelerator holds if it keeps only minCapacityShare
 // of the nominal capacity.
 func (m *Model) minCapacityLayers(k pkid.Kind) int {
-	n := m.Most(k)
-	for n > 1 && m.Room(k, n) < minCapacityShare*m.nominalCapacity() {
+	n := m.MaxLayers(k)
+	for n > 1 && m.KVCapacity(k, n) < minCapacityShare*m.nominalCapacity() {
 		n--
 	}
 	return n
--- a/pklayers/layout.go
+++ b/pklayers/layout.go
@@ -12,14 +12,14 @@
 // where the group has the least capacity, so that memory left over after one copy of the model
 // holds layers twice. With a single copy, each lost engine would send its data centre's streams
 // over the links to others.
-func layOut(m *Model, live []Card) map[pkid.TargetID]pkid.Range {
+func layOut(m *Model, live []Placement) map[pkid.TargetID]pkid.Range {
 	sorted := slices.Clone(live)
-	slices.SortStableFunc(sorted, func(a, b Card) int {
+	slices.SortStableFunc(sorted, func(a, b Placement) int {
 		ka, kb := m.Kinds[a.Kind], m.Kinds[b.Kind]
 		return cmp.Or(cmp.Compare(ka.StepFactor, kb.StepFactor), cmp.Compare(kb.MemoryMB, ka.MemoryMB))
 	})
 	for i := range sorted {
-		sorted[i].Held, sorted[i].Fresh = pkid.Range{}, false
+		sorted[i].Held, sorted[i].JustJoined = pkid.Range{}, false
 	}
 	return fillEmpty(newPool(m, sorted))
 }
--- a/pklayers/link_usage.go
+++ b/pklayers/link_usage.go
@@ -27,9 +27,9 @@
 	busyUntil time.Time
 }
 
-// Pipes tracks the tokens that this entry sends over the links between data centres; the zero value
+// LinkUsage tracks the tokens that this entry sends over the links between data centres; the zero value
 // is empty.
-type Pipes struct {
+type LinkUsage struct {
 	mu    sync.Mutex
 	links map[pair]linkState
 }
@@ -43,7 +43,7 @@
 
 // Add records tokens sent between two data centres. The prompt among them is sent at once and
 // occupies the link for the transfer time.
-func (u *Pipes) Add(now time.Time, a, b pkid.DataCenter, tokens float64, transfer time.Duration) {
+func (u *LinkUsage) Add(now time.Time, a, b pkid.DataCenter, tokens float64, transfer time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.links == nil {
@@ -58,7 +58,7 @@
 }
 
 // Backlog returns how long the link stays busy with the prompts that this entry has sent.
-func (u *Pipes) Backlog(now time.Time, a, b pkid.DataCenter) time.Duration {
+func (u *LinkUsage) Backlog(now time.Time, a, b pkid.DataCenter) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return max(u.links[pairOf(a, b)].busyUntil.Sub(now), 0)
@@ -71,7 +71,7 @@
 }
 
 // Flows returns the tokens that this entry has in flight, by link.
-func (u *Pipes) Flows(now time.Time) []Flow {
+func (u *LinkUsage) Flows(now time.Time) []Flow {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	out := make([]Flow, 0, len(u.links))
@@ -82,18 +82,18 @@
 	return out
 }
 
-// Own returns the tokens that this entry has in flight between two data centres.
-func (u *Pipes) Own(now time.Time, a, b pkid.DataCenter) float64 {
+// InFlight returns the tokens that this entry has in flight between two data centres.
+func (u *LinkUsage) InFlight(now time.Time, a, b pkid.DataCenter) float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.links[pairOf(a, b)].decayed(now)
 }
 
-// PipeCost returns the cost of sending a token over a link with so many tokens in flight: the wait
+// LinkCost returns the cost of sending a token over a link with so many tokens in flight: the wait
 // behind prompts, which are sent a chunk at a time, and the wait that the token adds for those
 // behind it. If a stream were charged for its own wait alone, it would cross links for a faster
 // engine until prompts delay the tokens of all others.
-func (m *Model) PipeCost(inFlight float64) time.Duration {
+func (m *Model) LinkCost(inFlight float64) time.Duration {
 	utilization := min(float64(m.TransferTime(inFlight))/float64(usageDecay), maxUtilization)
 	chunk := float64(m.TransferTime(float64(m.Chunk)))
 	own := utilization / (1 - utilization)
--- a/pklayers/link_usage_test.go
+++ b/pklayers/link_usage_test.go
@@ -26,25 +26,25 @@
 		{0, true}, {0.3, true}, {0.5, false}, {0.9, false}, {5, false},
 	} {
 		c := Costs{Hop: 100 * time.Microsecond, Crossing: func(_, _ pkid.DataCenter) time.Duration {
-			return m.PipeCost(row.utilization * perSecond)
+			return m.LinkCost(row.utilization * perSecond)
 		}}
-		p, found := Find(m.All(), engines, c, "a")
+		p, found := Find(m.AllLayers(), engines, c, "a")
 		assert.Assert(t, found)
-		crosses := p.Parts[len(p.Parts)-1].ID == "fast-2"
+		crosses := p.Stages[len(p.Stages)-1].ID == "fast-2"
 		assert.Equal(t, crosses, row.crosses, "at a utilization of %v", row.utilization)
 	}
 }
 
 func TestLinkCostGrowsWithUtilization(t *testing.T) {
 	m := testModel()
-	assert.Equal(t, m.PipeCost(0), time.Duration(0))
+	assert.Equal(t, m.LinkCost(0), time.Duration(0))
 	last := time.Duration(0)
 	for tokens := 1000.0; tokens < 40_000; tokens += 1000 {
-		cost := m.PipeCost(tokens)
+		cost := m.LinkCost(tokens)
 		assert.Assert(t, cost > last, "at %v tokens in flight", tokens)
 		last = cost
 	}
-	assert.Equal(t, m.PipeCost(1e6), m.PipeCost(1e9), "the cost of a saturated link is bounded")
+	assert.Equal(t, m.LinkCost(1e6), m.LinkCost(1e9), "the cost of a saturated link is bounded")
 }
 
 // Guards against new requests joining a saturated link, where they and the streams already on it
@@ -63,8 +63,8 @@
 	}{
 		{0.5, 400 * time.Millisecond, true}, {0.95, 400 * time.Millisecond, false}, {0.95, 0, true},
 	} {
-		c := Costs{Most: row.maxCost, Crossing: func(_, _ pkid.DataCenter) time.Duration { return m.PipeCost(row.utilization * perSecond) }}
-		_, found := Find(m.All(), engines, c, "a")
+		c := Costs{MaxCost: row.maxCost, Crossing: func(_, _ pkid.DataCenter) time.Duration { return m.LinkCost(row.utilization * perSecond) }}
+		_, found := Find(m.AllLayers(), engines, c, "a")
 		assert.Equal(t, found, row.found, "%+v", row)
 	}
 }
--- a/pklayers/model.go
+++ b/pklayers/model.go
@@ -12,8 +12,8 @@
 	MemoryMB float64
 	// StepFactor multiplies the time of a decode step.
 	StepFactor float64
-	// ReadFactor multiplies the prefill time.
-	ReadFactor float64
+	// PrefillFactor multiplies the prefill time.
+	PrefillFactor float64
 }
 
 // Model describes the size of a model and the speed of its engines.
@@ -26,12 +26,12 @@
 	EngineTokens pkid.Tokens
 	// ActivationBytes is what is sent between engines for one token.
 	ActivationBytes float64
-	// PipeMbps is the bandwidth of the link between two data centres, shared by all entries.
-	PipeMbps float64
+	// LinkMbps is the bandwidth of the link between two data centres, shared by all entries.
+	LinkMbps float64
 	// Step is the time of a decode step over all layers at factor 1.
 	Step time.Duration
-	// ReadPerSecond is the prefill rate over all layers at factor 1, in tokens a second.
-	ReadPerSecond float64
+	// PrefillPerSecond is the prefill rate over all layers at factor 1, in tokens a second.
+	PrefillPerSecond float64
 	// Chunk is the number of prompt tokens in one prefill chunk.
 	Chunk int
 	// EventTokens is the number of tokens in an event of a stream; zero counts as one.
@@ -58,24 +58,24 @@
 // Delay returns the one-way delay between two data centres; zero if unknown.
 func (m *Model) Delay(a, b pkid.DataCenter) time.Duration { return m.delays[pairOf(a, b)] }
 
-// All returns the range of all layers of the model.
-func (m *Model) All() pkid.Range { return pkid.Range{End: pkid.Layer(m.Layers)} }
+// AllLayers returns the range of all layers of the model.
+func (m *Model) AllLayers() pkid.Range { return pkid.Range{End: pkid.Layer(m.Layers)} }
 
-// Has reports whether the range lies within the layers of the model.
-func (m *Model) Has(r pkid.Range) bool {
+// Contains reports whether the range lies within the layers of the model.
+func (m *Model) Contains(r pkid.Range) bool {
 	return r.First >= 0 && r.First <= r.End && int(r.End) <= m.Layers
 }
 
-// Most returns how many layers fit on an accelerator that keeps no memory for KV cache.
-func (m *Model) Most(k pkid.Kind) int {
+// MaxLayers returns how many layers fit on an accelerator that keeps no memory for KV cache.
+func (m *Model) MaxLayers(k pkid.Kind) int {
 	if m.LayerMB <= 0 {
 		return 0
 	}
 	return min(int(m.Kinds[k].MemoryMB/m.LayerMB), m.Layers)
 }
 
-// Room returns the KV-cache capacity, in tokens, beside n layers; negative if they do not fit.
-func (m *Model) Room(k pkid.Kind, n int) float64 {
+// KVCapacity returns the KV-cache capacity, in tokens, beside n layers; negative if they do not fit.
+func (m *Model) KVCapacity(k pkid.Kind, n int) float64 {
 	const bytesPerMB = 1e6
 	if n <= 0 || m.Layers <= 0 {
 		return 0
@@ -89,20 +89,20 @@
 	return time.Duration(float64(m.Step) * m.Kinds[k].StepFactor * float64(n) / float64(max(m.Layers, 1)))
 }
 
-// ReadTime returns the time to prefill tokens over n layers.
-func (m *Model) ReadTime(k pkid.Kind, n int, tokens float64) time.Duration {
-	if m.ReadPerSecond <= 0 {
+// PrefillTime returns the time to prefill tokens over n layers.
+func (m *Model) PrefillTime(k pkid.Kind, n int, tokens float64) time.Duration {
+	if m.PrefillPerSecond <= 0 {
 		return 0
 	}
 	share := float64(n) / float64(max(m.Layers, 1))
-	return time.Duration(tokens / m.ReadPerSecond * m.Kinds[k].ReadFactor * share * float64(time.Second))
+	return time.Duration(tokens / m.PrefillPerSecond * m.Kinds[k].PrefillFactor * share * float64(time.Second))
 }
 
 // TransferTime returns how long the activations of tokens occupy the link between data centres.
 func (m *Model) TransferTime(tokens float64) time.Duration {
-	if m.PipeMbps <= 0 {
+	if m.LinkMbps <= 0 {
 		return 0
 	}
 	const bitsPerByte, bitsPerMbit = 8, 1e6
-	return time.Duration(tokens * m.ActivationBytes * bitsPerByte / (m.PipeMbps * bitsPerMbit) * float64(time.Second))
+	return time.Duration(tokens * m.ActivationBytes * bitsPerByte / (m.LinkMbps * bitsPerMbit) * float64(time.Second))
 }
--- a/pklayers/path.go
+++ b/pklayers/path.go
@@ -14,12 +14,12 @@
 	Held       pkid.Range
 	// Cost is the time that one layer takes for one token under the present load.
 	Cost time.Duration
-	// Enter is the time that a token waits before the engine processes it.
-	Enter time.Duration
+	// QueueDelay is the time that a token waits before the engine processes it.
+	QueueDelay time.Duration
 }
 
-// Part is an engine and the layers that it runs on a path.
-type Part struct {
+// Stage is an engine and the layers that it runs on a path.
+type Stage struct {
 	ID     pkid.TargetID
 	Layers pkid.Range
 }
@@ -28,8 +28,8 @@
 type Costs struct {
 	// Hop is added for each engine after the first.
 	Hop time.Duration
-	// Most is the highest cost of a path that is accepted; zero sets no bound.
-	Most time.Duration
+	// MaxCost is the highest cost of a path that is accepted; zero sets no bound.
+	MaxCost time.Duration
 	// Crossing returns the cost of passing between two data centres.
 	Crossing func(from, to pkid.DataCenter) time.Duration
 	// Reach returns the cost of reaching a first engine outside the home data centre; if nil,
@@ -50,8 +50,8 @@
 
 // Path is the engines that a request passes through and the time of a token over them.
 type Path struct {
-	Parts []Part
-	Cost  time.Duration
+	Stages []Stage
+	Cost   time.Duration
 }
 
 // maxStages is how many engines may be on a path; engines refuse longer ones.
@@ -119,9 +119,9 @@
 	for i = head; i >= 0; i = next[i] {
 		other := &kept[i]
 		switch {
-		case e.Cost >= other.Cost && e.Enter >= other.Enter:
+		case e.Cost >= other.Cost && e.QueueDelay >= other.QueueDelay:
 			return i, false
-		case e.Cost <= other.Cost && e.Enter <= other.Enter:
+		case e.Cost <= other.Cost && e.QueueDelay <= other.QueueDelay:
 			return i, true
 		}
 	}
--- a/pklayers/path_test.go
+++ b/pklayers/path_test.go
@@ -20,8 +20,8 @@
 	}, Costs{Hop: time.Millisecond}, "")
 	assert.Assert(t, found)
 	assert.DeepEqual(t, p, Path{
-		Parts: []Part{{ID: "wide", Layers: pkid.Range{End: 60}}, {ID: "last", Layers: pkid.Range{First: 60, End: 80}}},
-		Cost:  261 * time.Millisecond,
+		Stages: []Stage{{ID: "wide", Layers: pkid.Range{End: 60}}, {ID: "last", Layers: pkid.Range{First: 60, End: 80}}},
+		Cost:   261 * time.Millisecond,
 	})
 }
 
@@ -36,9 +36,9 @@
 			end := rapid.IntRange(first+1, layers).Draw(t, "end")
 			engines = append(engines, Engine{
 				ID: pkid.TargetID(rune('a' + i)), DataCenter: pkid.DataCenter(rapid.SampledFrom([]string{"x", "y"}).Draw(t, "data center")),
-				Held:  pkid.Range{First: pkid.Layer(first), End: pkid.Layer(end)},
-				Cost:  time.Duration(rapid.IntRange(1, 30).Draw(t, "cost")) * time.Millisecond,
-				Enter: time.Duration(rapid.IntRange(0, 30).Draw(t, "enter")) * time.Millisecond,
+				Held:       pkid.Range{First: pkid.Layer(first), End: pkid.Layer(end)},
+				Cost:       time.Duration(rapid.IntRange(1, 30).Draw(t, "cost")) * time.Millisecond,
+				QueueDelay: time.Duration(rapid.IntRange(0, 30).Draw(t, "enter")) * time.Millisecond,
 			})
 			for l := first; l < end; l++ {
 				held[l] = true
@@ -54,14 +54,14 @@
 			t.Fatalf("found: %v, every layer is held: %v", found, covered)
 		}
 		next, seen := pkid.Layer(0), map[pkid.TargetID]bool{}
-		for _, part := range p.Parts {
+		for _, part := range p.Stages {
 			if part.Layers.First != next || seen[part.ID] {
-				t.Fatalf("%v", p.Parts)
+				t.Fatalf("%v", p.Stages)
 			}
 			next, seen[part.ID] = part.Layers.End, true
 		}
 		if found && next != layers {
-			t.Fatalf("%v", p.Parts)
+			t.Fatalf("%v", p.Stages)
 		}
 	})
 }
--- a/pklayers/penalty.go
+++ b/pklayers/penalty.go
@@ -2,28 +2,28 @@
 
 import "math"
 
-// Crowding maps the utilization of an engine's KV cache to the factor by which its cost rises. It
+// MemoryPenalty maps the utilization of an engine's KV cache to the factor by which its cost rises. It
 // decides how soon requests move to slower engines.
-type Crowding func(utilization float64) float64
+type MemoryPenalty func(utilization float64) float64
 
 // minFree bounds the cost of a full engine.
 const minFree = 0.05
 
-// EarlyCrowding quadruples the cost of an engine at half utilization. It spreads requests over all
+// EarlyPenalty quadruples the cost of an engine at half utilization. It spreads requests over all
 // engines of a pool, the slow ones included, long before any is short of memory.
-func EarlyCrowding(utilization float64) float64 {
+func EarlyPenalty(utilization float64) float64 {
 	free := max(1-utilization, minFree)
 	return 1 / (free * free)
 }
 
-// FreeCrowding doubles the cost of an engine at half utilization. A half-full engine is as fast as
+// InversePenalty doubles the cost of an engine at half utilization. A half-full engine is as fast as
 // an empty one, so a higher penalty would move requests to slower engines, where they hold memory
 // for longer. The penalty allows for requests of other entries that are not known yet.
-func FreeCrowding(utilization float64) float64 { return 1 / max(1-utilization, minFree) }
+func InversePenalty(utilization float64) float64 { return 1 / max(1-utilization, minFree) }
 
-// LateCrowding penalizes memory little until an engine is nearly full. A few fast engines with
+// LatePenalty penalizes memory little until an engine is nearly full. A few fast engines with
 // little memory overflow more often with it than with a penalty that rises earlier.
-func LateCrowding(utilization float64) float64 {
+func LatePenalty(utilization float64) float64 {
 	const sharpness = 4
 	return 1 / max(1-math.Pow(max(utilization, 0), sharpness), minFree)
 }
--- a/pklayers/plan.go
+++ b/pklayers/plan.go
@@ -49,15 +49,15 @@
 	fullCapacityShare = 0.75
 )
 
-// Card is one engine of a pool and the layers that it holds.
-type Card struct {
+// Placement is one engine of a pool and the layers that it holds.
+type Placement struct {
 	ID         pkid.TargetID
 	DataCenter pkid.DataCenter
 	Kind       pkid.Kind
 	// Held is the range that it holds, or was ordered to hold and is loading.
 	Held pkid.Range
-	// Fresh says that it joined so recently that the engine it replaces may not have left yet.
-	Fresh bool
+	// JustJoined says that it joined so recently that the engine it replaces may not have left yet.
+	JustJoined bool
 }
 
 // Plan returns the ranges of those engines that should hold other layers than they do. Engines that
@@ -68,10 +68,10 @@
 // long enough, one engine at a time is moved where that raises the least capacity, since a load
 // takes an engine out of service for seconds. Layers that no engine holds are taken over by the
 // engines next to them, or the pool is laid out again.
-func Plan(m *Model, engines []Card, stableFor time.Duration) map[pkid.TargetID]pkid.Range {
+func Plan(m *Model, engines []Placement, stableFor time.Duration) map[pkid.TargetID]pkid.Range {
 	live := slices.Clone(engines)
-	live = slices.DeleteFunc(live, func(e Card) bool { return m.Most(e.Kind) == 0 })
-	slices.SortFunc(live, func(a, b Card) int { return cmp.Compare(a.ID, b.ID) })
+	live = slices.DeleteFunc(live, func(e Placement) bool { return m.MaxLayers(e.Kind) == 0 })
+	slices.SortFunc(live, func(a, b Placement) int { return cmp.Compare(a.ID, b.ID) })
 	if len(live) == 0 || m.Layers == 0 {
 		return nil
 	}
--- a/pklayers/plan_test.go
+++ b/pklayers/plan_test.go
@@ -14,23 +14,23 @@
 
 func testModel() *Model {
 	return &Model{
-		Layers: 80, LayerMB: 1750, TokenBytes: 590000, ActivationBytes: 29500, PipeMbps: 11000,
-		Step: 850 * time.Microsecond, ReadPerSecond: 196000, Chunk: 512, LoadTime: 14 * time.Second,
+		Layers: 80, LayerMB: 1750, TokenBytes: 590000, ActivationBytes: 29500, LinkMbps: 11000,
+		Step: 850 * time.Microsecond, PrefillPerSecond: 196000, Chunk: 512, LoadTime: 14 * time.Second,
 		PromptTokens: 772, AnswerTokens: 174,
 		Kinds: map[pkid.Kind]Accelerator{
-			"h100": {MemoryMB: 72000, StepFactor: 1.4, ReadFactor: 1}, "a100s": {MemoryMB: 36000, StepFactor: 3.1, ReadFactor: 3.2},
-			"l4": {MemoryMB: 21600, StepFactor: 16, ReadFactor: 8.2}, "t4": {MemoryMB: 14400, StepFactor: 15, ReadFactor: 15},
+			"h100": {MemoryMB: 72000, StepFactor: 1.4, PrefillFactor: 1}, "a100s": {MemoryMB: 36000, StepFactor: 3.1, PrefillFactor: 3.2},
+			"l4": {MemoryMB: 21600, StepFactor: 16, PrefillFactor: 8.2}, "t4": {MemoryMB: 14400, StepFactor: 15, PrefillFactor: 15},
 		},
 	}
 }
 
 // poolOf returns empty engines by data centre and kind.
-func poolOf(counts map[pkid.DataCenter]map[pkid.Kind]int) []Card {
-	var out []Card
+func poolOf(counts map[pkid.DataCenter]map[pkid.Kind]int) []Placement {
+	var out []Placement
 	for _, dc := range slices.Sorted(maps.Keys(counts)) {
 		for _, kind := range slices.Sorted(maps.Keys(counts[dc])) {
 			for range counts[dc][kind] {
-				out = append(out, Card{ID: pkid.TargetID(fmt.Sprintf("e%02d", len(out))), DataCenter: dc, Kind: kind})
+				out = append(out, Placement{ID: pkid.TargetID(fmt.Sprintf("e%02d", len(out))), DataCenter: dc, Kind: kind})
 			}
 		}
 	}
@@ -38,7 +38,7 @@
 }
 
 // testPool returns 39 engines of four kinds in three data centres.
-func testPool() []Card {
+func testPool() []Placement {
 	return poolOf(map[pkid.DataCenter]map[pkid.Kind]int{
 		"a": {"h100": 1, "a100s": 1, "l4": 5, "t4": 7},
 		"b": {"a100s": 1, "l4": 8, "t4": 3},
@@ -46,19 +46,19 @@
 	})
 }
 
-func applyPlan(t *testing.T, m *Model, placements []Card) []Card {
+func applyPlan(t *testing.T, m *Model, placements []Placement) []Placement {
 	t.Helper()
 	out := Plan(m, placements, rebalanceDelay)
 	for i := range placements {
 		if r, changed := out[placements[i].ID]; changed {
 			placements[i].Held = r
 		}
-		assert.Assert(t, placements[i].Held.Len() <= m.Most(placements[i].Kind), "%v holds %v", placements[i].ID, placements[i].Held)
+		assert.Assert(t, placements[i].Held.Len() <= m.MaxLayers(placements[i].Kind), "%v holds %v", placements[i].ID, placements[i].Held)
 	}
 	return placements
 }
 
-func minCopies(m *Model, placements []Card) int {
+func minCopies(m *Model, placements []Placement) int {
 	least := len(placements)
 	for l := range m.Layers {
 		n := 0
@@ -74,10 +74,10 @@
 
 // capacityByLayer returns the capacity of each layer in tokens, with engines outside the group
 // weighted by remote.
-func capacityByLayer(m *Model, placements []Card, g group, remote float64) []float64 {
+func capacityByLayer(m *Model, placements []Placement, g group, remote float64) []float64 {
 	capacity := make([]float64, m.Layers)
 	for _, e := range placements {
-		tokens := max(m.Room(e.Kind, e.Held.Len()), 0)
+		tokens := max(m.KVCapacity(e.Kind, e.Held.Len()), 0)
 		if !g[e.DataCenter] {
 			tokens *= remote
 		}
@@ -88,7 +88,7 @@
 	return capacity
 }
 
-func dataCenterGroups(placements []Card) []group {
+func dataCenterGroups(placements []Placement) []group {
 	var out []group
 	for _, e := range placements {
 		if !slices.ContainsFunc(out, func(g group) bool { return g[e.DataCenter] }) {
@@ -98,15 +98,15 @@
 	return out
 }
 
-func inGroup(placements []Card, g group) []Card {
-	return slices.DeleteFunc(slices.Clone(placements), func(e Card) bool { return !g[e.DataCenter] })
+func inGroup(placements []Placement, g group) []Placement {
+	return slices.DeleteFunc(slices.Clone(placements), func(e Placement) bool { return !g[e.DataCenter] })
 }
 
 // mixedPool returns 38 engines of three kinds in three data centres, none of which can hold the
 // model twice.
-func mixedPool() (*Model, []Card) {
+func mixedPool() (*Model, []Placement) {
 	m := testModel()
-	m.TokenBytes, m.ActivationBytes, m.PipeMbps, m.ReadPerSecond, m.EngineTokens = 426000, 21300, 9300, 272000, 100_000
+	m.TokenBytes, m.ActivationBytes, m.LinkMbps, m.PrefillPerSecond, m.EngineTokens = 426000, 21300, 9300, 272000, 100_000
 	delete(m.Kinds, "h100")
 	return m, poolOf(map[pkid.DataCenter]map[pkid.Kind]int{
 		"a": {"a100s": 2, "l4": 5, "t4": 8}, "b": {"a100s": 1, "l4": 7, "t4": 5}, "c": {"a100s": 2, "l4": 3, "t4": 5},
@@ -121,7 +121,7 @@
 	}
 	for _, e := range placements {
 		assert.Assert(t, e.Held.Len() > 0, "%s (%s) is empty", e.ID, e.Kind)
-		assert.Assert(t, m.Room(e.Kind, e.Held.Len()) >= m.nominalCapacity(), "%s (%s) holds %v", e.ID, e.Kind, e.Held)
+		assert.Assert(t, m.KVCapacity(e.Kind, e.Held.Len()) >= m.nominalCapacity(), "%s (%s) holds %v", e.ID, e.Kind, e.Held)
 	}
 	assert.Equal(t, len(Plan(m, placements, rebalanceDelay)), 0, "a plan that was carried out changes nothing more")
 }
@@ -145,14 +145,14 @@
 // Guards against long prompts waiting for slow engines: the fast engines of all data centres must
 // together form a pipeline that covers as many layers as they can hold.
 func TestFastEnginesFormPipelineAcrossDataCenters(t *testing.T) {
-	for name, pool := range map[string]func() (*Model, []Card){
+	for name, pool := range map[string]func() (*Model, []Placement){
 		"mixed":     mixedPool,
-		"test pool": func() (*Model, []Card) { return testModel(), testPool() },
+		"test pool": func() (*Model, []Placement) { return testModel(), testPool() },
 	} {
 		m, placements := pool()
 		placements = applyPlan(t, m, placements)
 		kinds := m.fastKinds(placements)
-		fast := slices.DeleteFunc(placements, func(e Card) bool { return !kinds[e.Kind] })
+		fast := slices.DeleteFunc(placements, func(e Placement) bool { return !kinds[e.Kind] })
 		held := 0
 		for _, e := range fast {
 			held += e.Held.Len()
@@ -231,7 +231,7 @@
 	m := testModel()
 	placements := applyPlan(t, m, testPool())
 	lost := pkid.Range{First: 40, End: 44}
-	var left []Card
+	var left []Placement
 	for _, e := range placements {
 		if e.Held.First >= lost.End || e.Held.End <= lost.First || e.Kind == "a100s" {
 			left = append(left, e)
@@ -252,11 +252,11 @@
 				engines = append(engines, Engine{ID: e.ID, DataCenter: e.DataCenter, Kind: e.Kind, Held: e.Held, Cost: m.StepTime(e.Kind, 1)})
 			}
 		}
-		p, found := Find(m.All(), engines, Costs{Hop: 50 * time.Microsecond, Crossing: func(_, _ pkid.DataCenter) time.Duration { return time.Millisecond }}, "b")
+		p, found := Find(m.AllLayers(), engines, Costs{Hop: 50 * time.Microsecond, Crossing: func(_, _ pkid.DataCenter) time.Duration { return time.Millisecond }}, "b")
 		assert.Assert(t, found)
 		next := pkid.Layer(0)
 		seen := map[pkid.TargetID]bool{}
-		for _, part := range p.Parts {
+		for _, part := range p.Stages {
 			assert.Equal(t, part.Layers.First, next)
 			assert.Assert(t, !seen[part.ID])
 			seen[part.ID] = true
@@ -272,7 +272,7 @@
 	m := testModel()
 	placements := applyPlan(t, m, largePool())
 	home := group{"c": true}
-	var left []Card
+	var left []Placement
 	for _, e := range placements {
 		inGap := e.Held.First <= 40 && e.Held.End > 40
 		if !inGap || !home[e.DataCenter] {
@@ -318,7 +318,7 @@
 		home := group{"a": true}
 		assert.Assert(t, minCopies(m, inGroup(placements, home)) >= 1)
 		holders := 0
-		left := slices.DeleteFunc(placements, func(e Card) bool {
+		left := slices.DeleteFunc(placements, func(e Placement) bool {
 			if !home[e.DataCenter] || lost < e.Held.First || e.Held.End <= lost {
 				return false
 			}
@@ -331,7 +331,7 @@
 }
 
 // largePool returns 98 engines in three data centres.
-func largePool() []Card {
+func largePool() []Placement {
 	return poolOf(map[pkid.DataCenter]map[pkid.Kind]int{
 		"a": {"h100": 1, "a100s": 2, "l4": 13, "t4": 18},
 		"b": {"h100": 1, "a100s": 2, "l4": 20, "t4": 9},
@@ -344,7 +344,7 @@
 func TestDataCentersAreSelfContained(t *testing.T) {
 	for _, mbps := range []float64{3920, 11000} {
 		m := testModel()
-		m.PipeMbps = mbps
+		m.LinkMbps = mbps
 		placements := applyPlan(t, m, largePool())
 		for _, g := range dataCenterGroups(placements) {
 			assert.Assert(t, minCopies(m, inGroup(placements, g)) >= 2, "%v", g)
@@ -366,7 +366,7 @@
 // for as long as the slow stages take: the fast engines must form a pipeline.
 func TestFastEnginesFormPipeline(t *testing.T) {
 	m := testModel()
-	m.PipeMbps = 3920
+	m.LinkMbps = 3920
 	placements := applyPlan(t, m, largePool())
 	var near []Engine
 	for _, e := range placements {
@@ -374,7 +374,7 @@
 			near = append(near, Engine{ID: e.ID, DataCenter: "a", Kind: e.Kind, Held: e.Held, Cost: m.StepTime(e.Kind, 1)})
 		}
 	}
-	p, found := Find(m.All(), near, Costs{Hop: 100 * time.Microsecond}, "a")
+	p, found := Find(m.AllLayers(), near, Costs{Hop: 100 * time.Microsecond}, "a")
 	assert.Assert(t, found)
 	slow := m.StepTime("l4", m.Layers)
 	assert.Assert(t, p.Cost < slow*6/10, "%v per token, %v over slow engines alone", p.Cost, slow)
@@ -384,7 +384,7 @@
 // centre are enough for a pipeline of their own.
 func TestFastEnginesFormPipelineWithinDataCenter(t *testing.T) {
 	m := testModel()
-	m.TokenBytes, m.PipeMbps, m.EngineTokens = 426000, 6300, 100_000
+	m.TokenBytes, m.LinkMbps, m.EngineTokens = 426000, 6300, 100_000
 	placements := applyPlan(t, m, poolOf(map[pkid.DataCenter]map[pkid.Kind]int{
 		"a": {"h100": 1, "a100s": 2, "l4": 17, "t4": 25},
 		"b": {"h100": 1, "a100s": 4, "l4": 25, "t4": 12},
@@ -399,7 +399,7 @@
 				held += e.Held.Len()
 			}
 		}
-		fast := slices.DeleteFunc(inGroup(placements, g), func(e Card) bool { return !kinds[e.Kind] })
+		fast := slices.DeleteFunc(inGroup(placements, g), func(e Placement) bool { return !kinds[e.Kind] })
 		for _, tokens := range capacityByLayer(m, fast, g, 0) {
 			if tokens == 0 {
 				missing++
--- a/pklayers/pool.go
+++ b/pklayers/pool.go
@@ -15,7 +15,7 @@
 // pool.
 type pool struct {
 	m       *Model
-	engines []Card
+	engines []Placement
 	groups  []group
 	// groupOf is the group of each engine, byGroup the capacity of each group, total that of the
 	// pool.
@@ -36,7 +36,7 @@
 }
 
 // newPool sums up the capacity of the engines. Planning modifies the slice.
-func newPool(m *Model, engines []Card) *pool {
+func newPool(m *Model, engines []Placement) *pool {
 	p := &pool{m: m, engines: engines, groups: groups(m, engines), fastKinds: m.fastKinds(engines), nominal: map[pkid.Kind]int{}}
 	p.total, p.fastTotal = make(layerCapacity, m.Layers), make(layerCapacity, m.Layers)
 	for range p.groups {
@@ -67,7 +67,7 @@
 // addCapacity adds the capacity of an engine to the sums, or subtracts it if sign is -1.
 func (p *pool) addCapacity(i int, sign int64) {
 	e := &p.engines[i]
-	tokens := sign * int64(max(p.m.Room(e.Kind, e.Held.Len()), 0))
+	tokens := sign * int64(max(p.m.KVCapacity(e.Kind, e.Held.Len()), 0))
 	p.total.add(e.Held, tokens)
 	p.byGroup[p.groupOf[i]].add(e.Held, tokens)
 	if p.fastKinds[e.Kind] {
@@ -156,7 +156,7 @@
 }
 
 // fastKinds returns the kinds within fastRatio of the fastest engine; none if all engines are.
-func (m *Model) fastKinds(engines []Card) map[pkid.Kind]bool {
+func (m *Model) fastKinds(engines []Placement) map[pkid.Kind]bool {
 	if len(engines) == 0 {
 		return nil
 	}
--- a/pklayers/repair.go
+++ b/pklayers/repair.go
@@ -29,7 +29,7 @@
 	for i := range p.engines {
 		e := &p.engines[i]
 		g := p.groupOf[i]
-		if e.Held.Len() > 0 || (e.Fresh && p.atFullCapacity(g)) {
+		if e.Held.Len() > 0 || (e.JustJoined && p.atFullCapacity(g)) {
 			continue
 		}
 		layers := p.nominalLayers(e.Kind)
@@ -79,9 +79,9 @@
 
 // closeGap extends the engines below and above a gap so that they meet; if one cannot take its
 // half, the other takes more.
-func closeGap(m *Model, live []Card, out map[pkid.TargetID]pkid.Range, gap pkid.Range) {
-	below, spareBelow := mostSpare(m, live, func(e Card) bool { return e.Held.End == gap.First })
-	above, spareAbove := mostSpare(m, live, func(e Card) bool { return e.Held.First == gap.End })
+func closeGap(m *Model, live []Placement, out map[pkid.TargetID]pkid.Range, gap pkid.Range) {
+	below, spareBelow := mostSpare(m, live, func(e Placement) bool { return e.Held.End == gap.First })
+	above, spareAbove := mostSpare(m, live, func(e Placement) bool { return e.Held.First == gap.End })
 	fromBelow := min(max(gap.Len()-spareAbove, gap.Len()/2), spareBelow)
 	if fromBelow > 0 {
 		r := live[below].Held
@@ -96,7 +96,7 @@
 }
 
 // mostSpare returns the adjacent engine that can take the most additional layers.
-func mostSpare(m *Model, live []Card, adjacent func(Card) bool) (index, spare int) {
+func mostSpare(m *Model, live []Placement, adjacent func(Placement) bool) (index, spare int) {
 	for i, e := range live {
 		if n := m.minCapacityLayers(e.Kind) - e.Held.Len(); e.Held.Len() > 0 && adjacent(e) && n > spare {
 			index, spare = i, n
--- a/pklayers/search.go
+++ b/pklayers/search.go
@@ -170,7 +170,7 @@
 	engine := &s.engines[e]
 	work := time.Duration(s.boundaries[i+1]-s.boundaries[i]) * engine.Cost
 	if i == 0 {
-		return state{engine: e, prev: -1, stages: 1, cost: engine.Enter + work + s.costs.reach(s.home, engine.DataCenter)}, true
+		return state{engine: e, prev: -1, stages: 1, cost: engine.QueueDelay + work + s.costs.reach(s.home, engine.DataCenter)}, true
 	}
 	var out state
 	if stay := s.previous[e]; stay.stages > 0 && engine.Held.First <= s.boundaries[i-1] {
@@ -181,7 +181,7 @@
 		if b.stages == 0 || b.stages >= maxStages || b.engine == e {
 			continue
 		}
-		cost := b.cost + engine.Enter + work + s.costs.Hop + s.crossing(dc, s.dataCenterOf[e])
+		cost := b.cost + engine.QueueDelay + work + s.costs.Hop + s.crossing(dc, s.dataCenterOf[e])
 		if out.stages == 0 || cost < out.cost {
 			out = state{engine: e, prev: b.engine, stages: b.stages + 1, cost: cost}
 		}
@@ -221,28 +221,28 @@
 	slices.SortStableFunc(ends, func(a, b state) int { return cmp.Compare(a.cost, b.cost) })
 	var best Path
 	for _, end := range ends {
-		if s.costs.Most > 0 && end.cost > s.costs.Most {
+		if s.costs.MaxCost > 0 && end.cost > s.costs.MaxCost {
 			break
 		}
-		if len(best.Parts) > 0 && end.cost >= best.Cost {
+		if len(best.Stages) > 0 && end.cost >= best.Cost {
 			break
 		}
 		p := s.backtrack(end)
-		if s.costs.Most > 0 && p.Cost > s.costs.Most {
+		if s.costs.MaxCost > 0 && p.Cost > s.costs.MaxCost {
 			s.revisited = true
 			continue
 		}
-		if len(best.Parts) == 0 || p.Cost < best.Cost {
+		if len(best.Stages) == 0 || p.Cost < best.Cost {
 			best = p
 		}
 	}
-	return best, len(best.Parts) > 0
+	return best, len(best.Stages) > 0
 }
 
 // backtrack returns the path to a final state. Engines refuse a path that revisits one; such an
 // engine holds all layers in between and keeps them.
 func (s *search) backtrack(end state) Path {
-	var parts []Part
+	var parts []Stage
 	var visited []int32
 	revisited := false
 	e := end.engine
@@ -253,24 +253,24 @@
 			parts[k].Layers.First = s.boundaries[i]
 		} else {
 			visited = append(visited, e)
-			parts = append(parts, Part{ID: s.engines[e].ID, Layers: pkid.Range{First: s.boundaries[i], End: s.boundaries[i+1]}})
+			parts = append(parts, Stage{ID: s.engines[e].ID, Layers: pkid.Range{First: s.boundaries[i], End: s.boundaries[i+1]}})
 		}
 		e = s.predecessor(i, e)
 	}
 	slices.Reverse(parts)
 	if !revisited {
-		return Path{Parts: parts, Cost: end.cost}
+		return Path{Stages: parts, Cost: end.cost}
 	}
 	slices.Reverse(visited)
-	return Path{Parts: parts, Cost: s.cost(parts, visited)}
+	return Path{Stages: parts, Cost: s.cost(parts, visited)}
 }
 
 // cost returns the time of a token over the parts, each at the engine of the same index.
-func (s *search) cost(parts []Part, engines []int32) time.Duration {
+func (s *search) cost(parts []Stage, engines []int32) time.Duration {
 	sum := s.costs.reach(s.home, s.engines[engines[0]].DataCenter)
 	for i, e := range engines {
 		engine := &s.engines[e]
-		sum += engine.Enter + time.Duration(parts[i].Layers.Len())*engine.Cost
+		sum += engine.QueueDelay + time.Duration(parts[i].Layers.Len())*engine.Cost
 		if i > 0 {
 			sum += s.costs.Hop + s.crossing(s.dataCenterOf[engines[i-1]], s.dataCenterOf[e])
 		}
--- a/pkowner/scheduler.go
+++ b/pkowner/scheduler.go
@@ -65,10 +65,10 @@
 	byID := map[pkid.TargetID]*pkreplica.Target{}
 	cold := true
 	d.updateArrivals(now, live)
-	engines := make([]pklayers.Card, 0, len(live))
+	engines := make([]pklayers.Placement, 0, len(live))
 	for _, t := range live {
 		byID[t.ID] = t
-		engines = append(engines, pklayers.Card{ID: t.ID, DataCenter: t.DataCenter, Kind: t.Kind, Held: d.layersOf(now, t), Fresh: now.Sub(d.arrivals[t.ID].at) < replacementDelay})
+		engines = append(engines, pklayers.Placement{ID: t.ID, DataCenter: t.DataCenter, Kind: t.Kind, Held: d.layersOf(now, t), JustJoined: now.Sub(d.arrivals[t.ID].at) < replacementDelay})
 		cold = cold && engines[len(engines)-1].Held.Len() == 0
 	}
 	if cold && now.Sub(d.changedAt) < settleTime {
--- a/pkowner/scheduler_test.go
+++ b/pkowner/scheduler_test.go
@@ -16,7 +16,7 @@
 func model() *pklayers.Model {
 	return &pklayers.Model{
 		Layers: 20, LayerMB: 1000, TokenBytes: 200_000, Step: time.Millisecond, LoadTime: 10 * time.Second,
-		Kinds: map[pkid.Kind]pklayers.Accelerator{"x": {MemoryMB: 8000, StepFactor: 1, ReadFactor: 1}},
+		Kinds: map[pkid.Kind]pklayers.Accelerator{"x": {MemoryMB: 8000, StepFactor: 1, PrefillFactor: 1}},
 	}
 }
 
