--- a/pkanswer/run.go
+++ b/pkanswer/run.go
@@ -23,7 +23,7 @@
 	ID pkid.RequestID
 	// Digest is the same for requests that differ only in their ids; zero if unknown.
 	Digest       pkquarantine.Digest
-	Want         pkroute.Want
+	Want         pkroute.ChainSpec
 	Prompt       string
 	PromptTokens pkid.Tokens
 	MaxTokens    pkid.Tokens
@@ -46,7 +46,7 @@
 
 // Router chooses a chain of targets and leaves out those in avoid.
 type Router interface {
-	Choose(now time.Time, want pkroute.Want, avoid []pkid.TargetID) (pkroute.Chain, error)
+	Choose(now time.Time, want pkroute.ChainSpec, avoid []pkid.TargetID) (pkroute.Chain, error)
 }
 
 // Budget limits retries; Spend takes one from it and returns false if there is none left.
--- a/pkanswer/run_test.go
+++ b/pkanswer/run_test.go
@@ -160,7 +160,7 @@
 // router returns two stages that were not tried yet, as in a pool with spare engines.
 type router struct{ spares int }
 
-func (r *router) Choose(_ time.Time, _ pkroute.Want, avoid []pkid.TargetID) (pkroute.Chain, error) {
+func (r *router) Choose(_ time.Time, _ pkroute.ChainSpec, avoid []pkid.TargetID) (pkroute.Chain, error) {
 	if len(avoid) > r.spares {
 		return pkroute.Chain{}, pkroute.ErrNoChain
 	}
--- a/pkentry/chat.go
+++ b/pkentry/chat.go
@@ -160,7 +160,7 @@
 	if err != nil {
 		return 0
 	}
-	least := time.Duration(output) * chain.Step
+	least := time.Duration(output) * chain.StepTime
 	for _, t := range chain.Stages {
 		if r, _, known := t.Reported(now); known {
 			least += time.Duration(run.PromptTokens) * r.Prefill
--- a/pkentry/routes.go
+++ b/pkentry/routes.go
@@ -24,15 +24,15 @@
 
 	mu      sync.RWMutex
 	changes uint64
-	plans   map[pkroute.Want]*pkroute.Plan
+	plans   map[pkroute.ChainSpec]*pkroute.Plan
 	pools   map[pkid.PoolID][]*pktarget.Target
 }
 
 func (s Settings) links() pkroute.Links {
-	l := pkroute.Links{Far: 250 * time.Microsecond, Times: map[pkroute.Link]time.Duration{}}
+	l := pkroute.Links{Default: 250 * time.Microsecond, Delays: map[pkroute.Link]time.Duration{}}
 	for _, link := range s.Links {
-		l.Times[pkroute.Link{From: link.From, To: link.To}] = link.Time
-		l.Times[pkroute.Link{From: link.To, To: link.From}] = link.Time
+		l.Delays[pkroute.Link{From: link.From, To: link.To}] = link.Time
+		l.Delays[pkroute.Link{From: link.To, To: link.From}] = link.Time
 	}
 	return l
 }
@@ -40,34 +40,34 @@
 // Choose returns a chain for want without the targets in avoid. If no chain exists without ejected
 // targets, it falls back to ejected ones, because a fault that ejects all targets at once is
 // probably transient.
-func (e *Entry) Choose(now time.Time, want pkroute.Want, avoid []pkid.TargetID) (pkroute.Chain, error) {
+func (e *Entry) Choose(now time.Time, want pkroute.ChainSpec, avoid []pkid.TargetID) (pkroute.Chain, error) {
 	p, a := e.plan(want), e.criteria(now, avoid)
 	c, err := p.Choose(a)
 	if err == nil {
 		return c, nil
 	}
-	a.Ejected = true
+	a.AllowEjected = true
 	return p.Choose(a)
 }
 
 // chooseTarget is like Choose for a single target of a service pool.
 func (e *Entry) chooseTarget(now time.Time, pool pkid.PoolID, avoid []pkid.TargetID) (*pktarget.Target, error) {
 	all, a := e.pool(pool), e.criteria(now, avoid)
-	t, err := pkroute.Service(all, a)
+	t, err := pkroute.ChooseTarget(all, a)
 	if err == nil {
 		return t, nil
 	}
-	a.Ejected = true
-	return pkroute.Service(all, a)
+	a.AllowEjected = true
+	return pkroute.ChooseTarget(all, a)
 }
 
-func (e *Entry) criteria(now time.Time, avoid []pkid.TargetID) pkroute.Ask {
-	return pkroute.Ask{Now: now, From: e.routes.from, Avoid: avoid, Links: e.routes.links, Rand: newRand(), Policy: e.settings.Policy}
+func (e *Entry) criteria(now time.Time, avoid []pkid.TargetID) pkroute.ChooseOptions {
+	return pkroute.ChooseOptions{Now: now, From: e.routes.from, Avoid: avoid, Links: e.routes.links, Rand: newRand(), Policy: e.settings.Policy}
 }
 
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-func (e *Entry) plan(want pkroute.Want) *pkroute.Plan {
+func (e *Entry) plan(want pkroute.ChainSpec) *pkroute.Plan {
 	r := &e.routes
 	r.mu.RLock()
 	p, found := r.plans[want]
@@ -94,7 +94,7 @@
 		return
 	}
 	r.changes = changes
-	r.plans = map[pkroute.Want]*pkroute.Plan{}
+	r.plans = map[pkroute.ChainSpec]*pkroute.Plan{}
 	r.pools = map[pkid.PoolID][]*pktarget.Target{}
 	for _, target := range t.All() {
 		r.pools[target.Info.Pool] = append(r.pools[target.Info.Pool], target)
@@ -109,15 +109,15 @@
 	return r.pools[id]
 }
 
-func wantOf(m *pkmanifest.Model, adapter pkid.AdapterID) pkroute.Want {
-	return pkroute.Want{Pool: m.Pool, Model: m.ID, Version: m.Version, Adapter: adapter, Layers: m.Layers}
+func wantOf(m *pkmanifest.Model, adapter pkid.AdapterID) pkroute.ChainSpec {
+	return pkroute.ChainSpec{Pool: m.Pool, Model: m.ID, Version: m.Version, Adapter: adapter, Layers: m.Layers}
 }
 
 // chooseWant returns what a new request should run on; a request keeps its model version until it
 // ends. During a roll-out engines hold two versions. The manifest's version is preferred while it has
 // free slots; otherwise the fastest available chain decides, so that the capacity of the previous
 // version stays in use and no request fails because the new version has no complete chain yet.
-func (e *Entry) chooseWant(m *pkmanifest.Model, adapter pkid.AdapterID) pkroute.Want {
+func (e *Entry) chooseWant(m *pkmanifest.Model, adapter pkid.AdapterID) pkroute.ChainSpec {
 	want := wantOf(m, adapter)
 	versions := pkorder.Versions(m, e.pool(m.Pool))
 	if len(versions) == 1 {
@@ -135,8 +135,8 @@
 		if v == m.Version && hasRoom(chain) {
 			return candidate
 		}
-		if chain.Step < bestStep {
-			best, bestStep = candidate, chain.Step
+		if chain.StepTime < bestStep {
+			best, bestStep = candidate, chain.StepTime
 		}
 	}
 	return best
--- a/pkentry/settings.go
+++ b/pkentry/settings.go
@@ -111,7 +111,7 @@
 	}
 	n := s.Peers.Neighborhood
 	c.Want(n == "" || n == NeighborhoodDataCenter || n == NeighborhoodRegion, "expected data_center or region", "peers", "neighborhood")
-	policies := []pkroute.Policy{pkroute.ByCost, pkroute.AtRandom, pkroute.BestOfTwo, pkroute.LeastConnections}
+	policies := []pkroute.Policy{pkroute.ByCost, pkroute.Random, pkroute.BestOfTwo, pkroute.LeastConnections}
 	c.Want(slices.Contains(policies, s.Policy), fmt.Sprintf("expected one of %q", policies), "policy")
 	t := s.Peers.TLS
 	c.Want(t == TLS{} || (t.Cert != "" && t.Key != "" && t.CA != ""), "cert, key and ca go together", "peers", "tls")
--- a/pkmeasure/state.go
+++ b/pkmeasure/state.go
@@ -56,9 +56,9 @@
 		}
 		table, bytes := retainedHeap(func() *pktarget.Table { return makeTable(list, now) })
 		all := table.All()
-		spec := pkroute.Want{Pool: "p", Model: "m", Version: "1", Layers: 32}
+		spec := pkroute.ChainSpec{Pool: "p", Model: "m", Version: "1", Layers: 32}
 		p := pkroute.NewPlan(spec, all)
-		opts := pkroute.Ask{Now: now, Rand: rand.New(rand.NewPCG(1, 1))}
+		opts := pkroute.ChooseOptions{Now: now, Rand: rand.New(rand.NewPCG(1, 1))}
 		choose.Points = append(choose.Points, Point{x, cpuPerCall(20000, func() { _, err = p.Choose(opts) })})
 		if err != nil {
 			return nil, err
--- a/pkroute/chain.go
+++ b/pkroute/chain.go
@@ -13,8 +13,8 @@
 // Chain is the targets that a request passes through, in the order of their layers.
 type Chain struct {
 	Stages []*pktarget.Target
-	// Step is the expected time of a token through the chain.
-	Step time.Duration
+	// StepTime is the expected time of a token through the chain.
+	StepTime time.Duration
 }
 
 // ErrNoChain says that no usable targets cover every layer once.
@@ -31,22 +31,22 @@
 	queueSteps = 12
 )
 
-// Ask holds the options of one choice.
-type Ask struct {
+// ChooseOptions holds the options of one choice.
+type ChooseOptions struct {
 	Now  time.Time
 	From pkid.DataCenter
 	// Avoid are targets that have already failed this request.
 	Avoid []pkid.TargetID
 	Links Links
 	Rand  *rand.Rand
-	// Ejected also allows targets that failed recently, for when no others are left.
-	Ejected bool
+	// AllowEjected also allows targets that failed recently, for when no others are left.
+	AllowEjected bool
 	// Policy selects among the targets of a range; the zero value is ByCost.
 	Policy Policy
 }
 
-func (o *Ask) usable(t *pktarget.Target) bool {
-	if o.Ejected && t.Leaving() || !o.Ejected && !t.Usable(o.Now) {
+func (o *ChooseOptions) usable(t *pktarget.Target) bool {
+	if o.AllowEjected && t.Leaving() || !o.AllowEjected && !t.Usable(o.Now) {
 		return false
 	}
 	return len(o.Avoid) == 0 || !slices.Contains(o.Avoid, t.Info.ID)
@@ -63,7 +63,7 @@
 const noNode = -1
 
 // Choose returns the cheapest chain over sampled targets, or ErrNoChain.
-func (p *Plan) Choose(opts Ask) (Chain, error) {
+func (p *Plan) Choose(opts ChooseOptions) (Chain, error) {
 	var buffer [48]node
 	nodes := buffer[:0]
 	best := noNode
@@ -77,7 +77,7 @@
 			}
 			nodes = append(nodes, n)
 			last := len(nodes) - 1
-			if n.layers.End == p.Want.Layers && (best == noNode || n.totalCost(&opts) < nodes[best].totalCost(&opts)) {
+			if n.layers.End == p.Spec.Layers && (best == noNode || n.totalCost(&opts) < nodes[best].totalCost(&opts)) {
 				best = last
 			}
 		}
@@ -90,11 +90,11 @@
 
 // relax finds the cheapest predecessor of n and reports whether n can be reached. Spans are ordered
 // by their first layer, so all nodes that end where n begins are already present.
-func (n *node) relax(nodes []node, opts *Ask) bool {
+func (n *node) relax(nodes []node, opts *ChooseOptions) bool {
 	nodeCost := opts.Policy.cost(n.target)
 	if n.layers.First == 0 {
 		n.prev = noNode
-		n.cost = nodeCost + opts.Links.Time(opts.From, n.target.Info.DataCenter)
+		n.cost = nodeCost + opts.Links.Delay(opts.From, n.target.Info.DataCenter)
 		return true
 	}
 	n.prev = noNode
@@ -102,7 +102,7 @@
 		if nodes[i].layers.End != n.layers.First {
 			continue
 		}
-		link := opts.Links.Time(nodes[i].target.Info.DataCenter, n.target.Info.DataCenter)
+		link := opts.Links.Delay(nodes[i].target.Info.DataCenter, n.target.Info.DataCenter)
 		cost := nodes[i].cost + link + nodeCost
 		if n.prev == noNode || cost < n.cost {
 			n.prev = i
@@ -113,30 +113,30 @@
 }
 
 // totalCost returns the cost including the link back to the entry.
-func (n *node) totalCost(opts *Ask) time.Duration {
-	return n.cost + opts.Links.Time(n.target.Info.DataCenter, opts.From)
+func (n *node) totalCost(opts *ChooseOptions) time.Duration {
+	return n.cost + opts.Links.Delay(n.target.Info.DataCenter, opts.From)
 }
 
-func chainOf(nodes []node, last int, opts *Ask) Chain {
+func chainOf(nodes []node, last int, opts *ChooseOptions) Chain {
 	var c Chain
 	for i := last; i != noNode; i = nodes[i].prev {
 		c.Stages = append(c.Stages, nodes[i].target)
 	}
 	slices.Reverse(c.Stages)
-	c.Step = stepTime(c.Stages, opts)
+	c.StepTime = stepTime(c.Stages, opts)
 	return c
 }
 
 // stepTime returns the time of a token through the stages. It leaves out the cost of queueing: a
 // deadline checked against that would refuse requests that only have to wait.
-func stepTime(stages []*pktarget.Target, opts *Ask) time.Duration {
+func stepTime(stages []*pktarget.Target, opts *ChooseOptions) time.Duration {
 	from := opts.From
 	var total time.Duration
 	for _, t := range stages {
-		total += t.StepTime() + opts.Links.Time(from, t.Info.DataCenter)
+		total += t.StepTime() + opts.Links.Delay(from, t.Info.DataCenter)
 		from = t.Info.DataCenter
 	}
-	return total + opts.Links.Time(from, opts.From)
+	return total + opts.Links.Delay(from, opts.From)
 }
 
 // stageCost returns the time of a step plus the cost of queueing.
@@ -149,7 +149,7 @@
 }
 
 // sample fills out with distinct usable targets and returns how many it found.
-func (s *span) sample(opts *Ask, out []*pktarget.Target) int {
+func (s *span) sample(opts *ChooseOptions, out []*pktarget.Target) int {
 	found := 0
 	for range len(out) + extraSamples {
 		t := s.targets[opts.Policy.sampleIndex(s, opts.Rand)]
--- a/pkroute/chain_test.go
+++ b/pkroute/chain_test.go
@@ -22,11 +22,13 @@
 	return t
 }
 
-func testSpec(layers pkid.Layer) Want {
-	return Want{Pool: "p", Model: "m", Version: "1", Layers: layers}
+func testSpec(layers pkid.Layer) ChainSpec {
+	return ChainSpec{Pool: "p", Model: "m", Version: "1", Layers: layers}
 }
 
-func testOptions(seed uint64) Ask { return Ask{Now: now, Rand: rand.New(rand.NewPCG(seed, 1))} }
+func testOptions(seed uint64) ChooseOptions {
+	return ChooseOptions{Now: now, Rand: rand.New(rand.NewPCG(seed, 1))}
+}
 
 // Guards against layers that run twice or not at all for a token: a chain covers each layer once,
 // uses no leaving or ejected engine, and is found whenever one exists.
@@ -97,7 +99,7 @@
 	near.Info.DataCenter = "here"
 	opts := testOptions(1)
 	opts.From = "here"
-	opts.Links = Links{Far: 25 * time.Millisecond}
+	opts.Links = Links{Default: 25 * time.Millisecond}
 	chain, err := NewPlan(testSpec(4), []*pktarget.Target{far, near}).Choose(opts)
 	assert.NilError(t, err)
 	assert.Equal(t, chain.Stages[0], near)
@@ -156,5 +158,5 @@
 	}
 	chain, err := NewPlan(testSpec(4), []*pktarget.Target{busy}).Choose(testOptions(1))
 	assert.NilError(t, err)
-	assert.Equal(t, chain.Step, busy.StepTime())
+	assert.Equal(t, chain.StepTime, busy.StepTime())
 }
--- a/pkroute/flow.go
+++ b/pkroute/flow.go
@@ -18,7 +18,7 @@
 			capacities[s.layers] += capacity(t)
 		}
 	}
-	return MaxFlow(capacities, p.Want.Layers)
+	return MaxFlow(capacities, p.Spec.Layers)
 }
 
 // MaxFlow returns the maximum flow from layer 0 to the last of layers over ranges with the given
--- a/pkroute/links.go
+++ b/pkroute/links.go
@@ -9,9 +9,9 @@
 // Links holds the one-way delays between data centres; with the zero value every link takes no
 // time.
 type Links struct {
-	// Far is the delay between different data centres that are not listed.
-	Far   time.Duration
-	Times map[Link]time.Duration
+	// Default is the delay between different data centres that are not listed.
+	Default time.Duration
+	Delays  map[Link]time.Duration
 }
 
 // Link is a directed pair of data centres.
@@ -20,13 +20,13 @@
 	To   pkid.DataCenter
 }
 
-// Time returns the one-way delay from one data centre to another.
-func (l Links) Time(from, to pkid.DataCenter) time.Duration {
-	if t, found := l.Times[Link{From: from, To: to}]; found {
+// Delay returns the one-way delay from one data centre to another.
+func (l Links) Delay(from, to pkid.DataCenter) time.Duration {
+	if t, found := l.Delays[Link{From: from, To: to}]; found {
 		return t
 	}
 	if from == to {
 		return 0
 	}
-	return l.Far
+	return l.Default
 }
--- a/pkroute/plan.go
+++ b/pkroute/plan.go
@@ -9,8 +9,8 @@
 	"peridotknot.example/pktarget"
 )
 
-// Want describes what the targets of a chain must hold.
-type Want struct {
+// ChainSpec describes what the targets of a chain must hold.
+type ChainSpec struct {
 	Pool    pkid.PoolID
 	Model   pkid.ModelID
 	Version pkid.Version
@@ -21,7 +21,7 @@
 // Plan is the targets that can be part of a chain, grouped by layer range. It is immutable; a new
 // one is made when targets join, leave or load something else.
 type Plan struct {
-	Want  Want
+	Spec  ChainSpec
 	spans []span
 }
 
@@ -34,14 +34,14 @@
 }
 
 // NewPlan groups the targets that match spec by layer range.
-func NewPlan(spec Want, targets []*pktarget.Target) *Plan {
+func NewPlan(spec ChainSpec, targets []*pktarget.Target) *Plan {
 	byRange := map[pkid.Range][]*pktarget.Target{}
 	for _, t := range targets {
 		if h := t.Holding(); h != nil && t.Info.Pool == spec.Pool && spec.matches(h) {
 			byRange[h.Range] = append(byRange[h.Range], t)
 		}
 	}
-	p := &Plan{Want: spec}
+	p := &Plan{Spec: spec}
 	for layers, inRange := range byRange {
 		p.spans = append(p.spans, newSpan(layers, inRange))
 	}
@@ -51,7 +51,7 @@
 	return p
 }
 
-func (s Want) matches(h *pktarget.Holding) bool {
+func (s ChainSpec) matches(h *pktarget.Holding) bool {
 	if h.Model != s.Model || h.Version != s.Version || h.Range.Len() <= 0 {
 		return false
 	}
--- a/pkroute/policy.go
+++ b/pkroute/policy.go
@@ -15,8 +15,8 @@
 	// ByCost samples a few targets by rate and takes the cheapest path by step time under the
 	// corrected load, queueing and links.
 	ByCost Policy = ""
-	// AtRandom takes a random target of each range.
-	AtRandom Policy = "random"
+	// Random takes a random target of each range.
+	Random Policy = "random"
 	// BestOfTwo takes the one of two random targets with fewer requests.
 	BestOfTwo Policy = "best_of_two"
 	// LeastConnections takes the sampled target with the fewest requests of this entry.
@@ -25,7 +25,7 @@
 
 func (p Policy) sampleSize() int {
 	switch p {
-	case AtRandom:
+	case Random:
 		return 1
 	case BestOfTwo:
 		return 2
@@ -46,7 +46,7 @@
 // count each as a millisecond.
 func (p Policy) cost(t *pktarget.Target) time.Duration {
 	switch p {
-	case AtRandom:
+	case Random:
 		return time.Millisecond
 	case BestOfTwo:
 		return time.Duration(t.Load()+1) * time.Millisecond
--- a/pkroute/service.go
+++ b/pkroute/service.go
@@ -9,8 +9,8 @@
 // ErrNoTarget says that a pool has no usable target.
 var ErrNoTarget = errors.New("the pool has no usable target")
 
-// Service returns the less loaded of two random usable targets, or ErrNoTarget.
-func Service(targets []*pktarget.Target, opts Ask) (*pktarget.Target, error) {
+// ChooseTarget returns the less loaded of two random usable targets, or ErrNoTarget.
+func ChooseTarget(targets []*pktarget.Target, opts ChooseOptions) (*pktarget.Target, error) {
 	if len(targets) == 0 {
 		return nil, ErrNoTarget
 	}
@@ -42,8 +42,8 @@
 	return first, nil
 }
 
-func serviceCost(t *pktarget.Target, opts Ask) int64 {
+func serviceCost(t *pktarget.Target, opts ChooseOptions) int64 {
 	const perMillisecond = 1000
-	link := opts.Links.Time(opts.From, t.Info.DataCenter)
+	link := opts.Links.Delay(opts.From, t.Info.DataCenter)
 	return t.Load()*perMillisecond + link.Microseconds()
 }
