--- a/pkentry/owner.go
+++ b/pkentry/owner.go
@@ -194,8 +194,8 @@
 }
 
 // poolState collects the input for planning the orders of a pool and updates the recorded demand.
-func (e *Entry) poolState(m *pkmanifest.Model, o *ownership) pkorder.Situation {
-	s := pkorder.Situation{Model: m, Loading: map[pkid.TargetID]pkid.Range{}, Fence: o.lease.Fence()}
+func (e *Entry) poolState(m *pkmanifest.Model, o *ownership) pkorder.PoolState {
+	s := pkorder.PoolState{Model: m, Loading: map[pkid.TargetID]pkid.Range{}, Fence: o.lease.Fence()}
 	now := time.Now()
 	for _, t := range e.pool(m.Pool) {
 		if t.LeavingBy(pktarget.WitnessList) {
--- a/pkorder/plan.go
+++ b/pkorder/plan.go
@@ -12,8 +12,8 @@
 	"peridotknot.example/pktarget"
 )
 
-// Situation is the state of a pool as its owner sees it.
-type Situation struct {
+// PoolState is the state of a pool as its owner sees it.
+type PoolState struct {
 	Model *pkmanifest.Model
 	// Targets are the pool's engines that are not leaving.
 	Targets []*pktarget.Target
@@ -25,8 +25,8 @@
 	Fence  pkid.Fence
 }
 
-// Told is an order and the target to send it to.
-type Told struct {
+// Assignment is an order and the target to send it to.
+type Assignment struct {
 	Target *pktarget.Target
 	Order  pkengine.Order
 }
@@ -40,10 +40,10 @@
 )
 
 // Next returns the orders that may be sent now.
-func Next(s Situation) []Told {
+func Next(s PoolState) []Assignment {
 	p := newPlan(s)
 	budget := s.Model.LoadsAtOnce - len(s.Loading)
-	var out []Told
+	var out []Assignment
 	for len(out) < budget {
 		t, r, found := p.bestReload(p.minCapacity())
 		if !found && len(out)+len(s.Loading) == 0 {
@@ -55,14 +55,14 @@
 			break
 		}
 		p.assign(t, r)
-		out = append(out, Told{Target: t, Order: p.order(r)})
+		out = append(out, Assignment{Target: t, Order: p.order(r)})
 	}
 	return out
 }
 
 // plan is a pool with the orders that are under way.
 type plan struct {
-	Situation
+	PoolState
 	wanted map[pkid.Range]int
 	have   map[pkid.Range]int
 	// available are the targets that are not loading, slots the capacity of those that hold layers;
@@ -92,9 +92,9 @@
 	return sum
 }
 
-func newPlan(s Situation) *plan {
+func newPlan(s PoolState) *plan {
 	p := &plan{
-		Situation: s,
+		PoolState: s,
 		wanted:    apportion(s.Model.Splits, len(s.Targets)),
 		have:      map[pkid.Range]int{},
 		slots:     capacity{},
--- a/pkorder/plan_test.go
+++ b/pkorder/plan_test.go
@@ -51,7 +51,7 @@
 		m := testModel("2", maxLoads)
 		loading := map[pkid.TargetID]pkid.Range{}
 		for range 4 * n {
-			orders := Next(Situation{Model: m, Targets: targets, Loading: loading, Demand: demand})
+			orders := Next(PoolState{Model: m, Targets: targets, Loading: loading, Demand: demand})
 			for _, one := range orders {
 				loading[one.Target.Info.ID] = pkid.Range{First: one.Order.First, End: one.Order.End}
 			}
@@ -64,7 +64,7 @@
 					serving = append(serving, one)
 				}
 			}
-			p := newPlan(Situation{Model: m, Targets: serving})
+			p := newPlan(PoolState{Model: m, Targets: serving})
 			if got := p.slots.flow(8); len(orders) > 0 && got < demand {
 				t.Fatalf("%g slots stay in service for a demand of %g", got, demand)
 			}
@@ -74,7 +74,7 @@
 				delete(loading, one.Target.Info.ID)
 			}
 		}
-		have := newPlan(Situation{Model: m, Targets: targets}).have
+		have := newPlan(PoolState{Model: m, Targets: targets}).have
 		if have[pkid.Range{First: 0, End: 4}] != n/2 || have[pkid.Range{First: 4, End: 8}] != n/2 {
 			t.Fatalf("the rollout ended with %v, %d engines", have, n)
 		}
@@ -102,7 +102,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			got := Next(Situation{Model: testModel("2", 2), Targets: c.targets, Loading: c.loading, Demand: c.demand, Fence: 3})
+			got := Next(PoolState{Model: testModel("2", 2), Targets: c.targets, Loading: c.loading, Demand: c.demand, Fence: 3})
 			assert.Equal(t, len(got), c.want)
 			for _, one := range got {
 				assert.Equal(t, one.Order.Fence, pkid.Fence(3))
