--- a/pkedge/attempt.go
+++ b/pkedge/attempt.go
@@ -152,16 +152,16 @@
 
 // flow returns the attempt as input for the search for stalled engines; the result is false for an
 // attempt that passes no engine.
-func (a *attempt) flow() (pkstall.Flow, bool) {
+func (a *attempt) flow() (pkstall.Stream, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.flowLocked(), len(a.path.hops) > 0
 }
 
-func (a *attempt) flowLocked() pkstall.Flow {
-	return pkstall.Flow{
-		Path: a.path.targetIDs(), Begun: a.events > 0, Last: a.lastEventAt, Pause: a.meanPause,
-		Most: a.call.route.PauseObjective, First: a.call.route.Objective,
+func (a *attempt) flowLocked() pkstall.Stream {
+	return pkstall.Stream{
+		Path: a.path.targetIDs(), Started: a.events > 0, LastProgress: a.lastEventAt, MeanGap: a.meanPause,
+		MaxGap: a.call.route.PauseObjective, MaxFirstWait: a.call.route.Objective,
 	}
 }
 
--- a/pkedge/suspect.go
+++ b/pkedge/suspect.go
@@ -53,19 +53,19 @@
 // that do not answer. One that answers is merely slow: moving all of its streams at once would
 // overload other engines.
 func (d *Daemon) suspectStalledEngines(ctx context.Context, now time.Time, all []*attempt) {
-	flows := make([]pkstall.Flow, 0, len(all))
+	flows := make([]pkstall.Stream, 0, len(all))
 	for _, a := range all {
 		if f, overEngines := a.flow(); overEngines {
 			flows = append(flows, f)
 		}
 	}
-	evidence := pkstall.Evidence{Turn: rand.Uint64(), Answered: func(id pkid.TargetID) time.Time {
+	evidence := pkstall.Evidence{TieBreak: rand.Uint64(), Answered: func(id pkid.TargetID) time.Time {
 		if t, found := d.roster.Target(id); found {
 			return t.AnsweredAt()
 		}
 		return time.Time{}
 	}}
-	for _, id := range pkstall.Culprits(now, flows, evidence) {
+	for _, id := range pkstall.ProbeTargets(now, flows, evidence) {
 		t, found := d.roster.Target(id)
 		if !found || t.Avoided(now) || !t.Ask(now, livenessInterval) {
 			continue
--- a/pkstall/stall.go
+++ b/pkstall/stall.go
@@ -39,28 +39,28 @@
 	defaultFirstEvent = 200 * time.Millisecond
 )
 
-// Flow is the progress of one stream.
-type Flow struct {
+// Stream is the progress of one stream.
+type Stream struct {
 	Path []pkid.TargetID
-	// Begun says that an event has arrived; Last is the time of the last one, or of sending the
+	// Started says that an event has arrived; Last is the time of the last one, or of sending the
 	// request.
-	Begun bool
-	Last  time.Time
-	// Pause is the mean time between events; zero before the second one.
-	Pause time.Duration
-	// Most is the longest pause that the caller accepts, First the longest wait for the first
+	Started      bool
+	LastProgress time.Time
+	// MeanGap is the mean time between events; zero before the second one.
+	MeanGap time.Duration
+	// MaxGap is the longest pause that the caller accepts, First the longest wait for the first
 	// event; zero if not stated.
-	Most  time.Duration
-	First time.Duration
+	MaxGap       time.Duration
+	MaxFirstWait time.Duration
 }
 
 // Silent reports whether the stream counts as silent at now.
-func (s Flow) Silent(now time.Time) bool {
-	silence := now.Sub(s.Last)
-	if !s.Begun {
-		return silence >= shareOf(firstEventShare, s.First, defaultFirstEvent)
+func (s Stream) Silent(now time.Time) bool {
+	silence := now.Sub(s.LastProgress)
+	if !s.Started {
+		return silence >= shareOf(firstEventShare, s.MaxFirstWait, defaultFirstEvent)
 	}
-	return silence >= max(shareOf(silenceShare, s.Most, defaultSilence), time.Duration(meanGapFactor*float64(s.Pause)))
+	return silence >= max(shareOf(silenceShare, s.MaxGap, defaultSilence), time.Duration(meanGapFactor*float64(s.MeanGap)))
 }
 
 // shareOf returns a share of a duration, or the fallback if the duration is zero.
@@ -76,9 +76,9 @@
 	// Answered returns when an engine last gave a sign of life, zero if never; nil means never for
 	// all engines.
 	Answered func(pkid.TargetID) time.Time
-	// Turn orders engines with equally many silent streams. Entries that choose it at random probe
+	// TieBreak orders engines with equally many silent streams. Entries that choose it at random probe
 	// different engines first and share what they find.
-	Turn uint64
+	TieBreak uint64
 }
 
 // candidate is an engine that silent streams may be waiting for.
@@ -90,9 +90,9 @@
 	rank      uint64
 }
 
-// Culprits returns the engines to probe at now, those with the most silent streams first. Engines
+// ProbeTargets returns the engines to probe at now, those with the most silent streams first. Engines
 // that another stream has passed since, or that gave another sign of life, are left out.
-func Culprits(now time.Time, streams []Flow, e Evidence) []pkid.TargetID {
+func ProbeTargets(now time.Time, streams []Stream, e Evidence) []pkid.TargetID {
 	candidates := candidatesOf(now, streams)
 	if candidates == nil {
 		return nil
@@ -101,7 +101,7 @@
 	var sorted []*candidate
 	for _, c := range candidates {
 		if c.silent >= minSilentStreams {
-			c.rank = tieBreak(e.Turn, c.id)
+			c.rank = tieBreak(e.TieBreak, c.id)
 			sorted = append(sorted, c)
 		}
 	}
@@ -116,7 +116,7 @@
 }
 
 // candidatesOf returns the engines of silent streams; nil if too few streams are silent.
-func candidatesOf(now time.Time, streams []Flow) map[pkid.TargetID]*candidate {
+func candidatesOf(now time.Time, streams []Stream) map[pkid.TargetID]*candidate {
 	out := map[pkid.TargetID]*candidate{}
 	silent := 0
 	for _, s := range streams {
@@ -129,8 +129,8 @@
 				out[id] = &candidate{id: id}
 			}
 			out[id].silent++
-			if s.Last.After(out[id].stalledAt) {
-				out[id].stalledAt = s.Last
+			if s.LastProgress.After(out[id].stalledAt) {
+				out[id].stalledAt = s.LastProgress
 			}
 		}
 	}
@@ -141,10 +141,10 @@
 }
 
 // dropLive removes the engines that were alive after the last of their silent streams stopped.
-func dropLive(candidates map[pkid.TargetID]*candidate, streams []Flow, e Evidence) {
+func dropLive(candidates map[pkid.TargetID]*candidate, streams []Stream, e Evidence) {
 	for _, s := range streams {
 		for _, id := range s.Path {
-			if c := candidates[id]; c != nil && s.Begun && s.Last.Sub(c.stalledAt) > drainTime {
+			if c := candidates[id]; c != nil && s.Started && s.LastProgress.Sub(c.stalledAt) > drainTime {
 				delete(candidates, id)
 			}
 		}
--- a/pkstall/stall_test.go
+++ b/pkstall/stall_test.go
@@ -14,8 +14,8 @@
 
 var now = time.Unix(1000, 0)
 
-func testStream(silentFor time.Duration, path ...pkid.TargetID) Flow {
-	return Flow{Path: path, Begun: true, Last: now.Add(-silentFor), Pause: 30 * time.Millisecond}
+func testStream(silentFor time.Duration, path ...pkid.TargetID) Stream {
+	return Stream{Path: path, Started: true, LastProgress: now.Add(-silentFor), MeanGap: 30 * time.Millisecond}
 }
 
 // manyEngines has more engines than are probed at once.
@@ -27,43 +27,43 @@
 	const long, short = 130 * time.Millisecond, 20 * time.Millisecond
 	cases := []struct {
 		name    string
-		streams []Flow
+		streams []Stream
 		want    []pkid.TargetID
 	}{
-		{"no stream is silent", []Flow{testStream(short, "a", "b"), testStream(short, "a", "c")}, nil},
-		{"one silent stream is too few", []Flow{testStream(long, "a", "b"), testStream(short, "a", "c")}, nil},
-		{"two silent streams share one engine", []Flow{testStream(long, "a", "x"), testStream(long, "b", "x"), testStream(short, "a", "b")}, []pkid.TargetID{"x"}},
-		{"a progressing stream clears its engines", []Flow{testStream(long, "a", "x"), testStream(long, "a", "x"), testStream(short, "a", "c")}, []pkid.TargetID{"x"}},
-		{"two candidates remain", []Flow{testStream(long, "a", "x"), testStream(long, "a", "x")}, []pkid.TargetID{"a", "x"}},
-		{"a pipeline of candidates remains", []Flow{testStream(long, "a", "b", "c", "d", "e", "f", "g"), testStream(long, "a", "b", "c", "d", "e", "f", "h")}, []pkid.TargetID{"a", "b", "c", "d", "e", "f"}},
-		{"more candidates than probes", []Flow{testStream(long, manyEngines...), testStream(long, manyEngines...)}, manyEngines[:maxProbes]},
-		{"most silent streams first", []Flow{testStream(long, "b", "z"), testStream(long, "b", "z"), testStream(long, "a", "z")}, []pkid.TargetID{"z", "b"}},
-		{"slow paths are not silent", []Flow{
-			{Path: []pkid.TargetID{"a", "x"}, Begun: true, Last: now.Add(-long), Pause: 60 * time.Millisecond},
-			{Path: []pkid.TargetID{"b", "x"}, Begun: true, Last: now.Add(-long), Pause: 60 * time.Millisecond},
+		{"no stream is silent", []Stream{testStream(short, "a", "b"), testStream(short, "a", "c")}, nil},
+		{"one silent stream is too few", []Stream{testStream(long, "a", "b"), testStream(short, "a", "c")}, nil},
+		{"two silent streams share one engine", []Stream{testStream(long, "a", "x"), testStream(long, "b", "x"), testStream(short, "a", "b")}, []pkid.TargetID{"x"}},
+		{"a progressing stream clears its engines", []Stream{testStream(long, "a", "x"), testStream(long, "a", "x"), testStream(short, "a", "c")}, []pkid.TargetID{"x"}},
+		{"two candidates remain", []Stream{testStream(long, "a", "x"), testStream(long, "a", "x")}, []pkid.TargetID{"a", "x"}},
+		{"a pipeline of candidates remains", []Stream{testStream(long, "a", "b", "c", "d", "e", "f", "g"), testStream(long, "a", "b", "c", "d", "e", "f", "h")}, []pkid.TargetID{"a", "b", "c", "d", "e", "f"}},
+		{"more candidates than probes", []Stream{testStream(long, manyEngines...), testStream(long, manyEngines...)}, manyEngines[:maxProbes]},
+		{"most silent streams first", []Stream{testStream(long, "b", "z"), testStream(long, "b", "z"), testStream(long, "a", "z")}, []pkid.TargetID{"z", "b"}},
+		{"slow paths are not silent", []Stream{
+			{Path: []pkid.TargetID{"a", "x"}, Started: true, LastProgress: now.Add(-long), MeanGap: 60 * time.Millisecond},
+			{Path: []pkid.TargetID{"b", "x"}, Started: true, LastProgress: now.Add(-long), MeanGap: 60 * time.Millisecond},
 		}, nil},
 	}
 	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) { assert.DeepEqual(t, Culprits(now, c.streams, Evidence{}), c.want) })
+		t.Run(c.name, func(t *testing.T) { assert.DeepEqual(t, ProbeTargets(now, c.streams, Evidence{}), c.want) })
 	}
 }
 
 // Guards against engines that are probed late or twice when several die at once: every candidate is
 // probed once, in one of two rounds.
 func TestAllCandidatesAreProbedInTurn(t *testing.T) {
-	streams := []Flow{testStream(130*time.Millisecond, manyEngines...), testStream(130*time.Millisecond, manyEngines...)}
+	streams := []Stream{testStream(130*time.Millisecond, manyEngines...), testStream(130*time.Millisecond, manyEngines...)}
 	for seed := range uint64(50) {
 		answered := map[pkid.TargetID]time.Time{}
-		e := Evidence{Turn: seed, Answered: func(id pkid.TargetID) time.Time { return answered[id] }}
+		e := Evidence{TieBreak: seed, Answered: func(id pkid.TargetID) time.Time { return answered[id] }}
 		for round := range 2 {
-			probed := Culprits(now, streams, e)
+			probed := ProbeTargets(now, streams, e)
 			assert.Equal(t, len(probed), []int{maxProbes, len(manyEngines) - maxProbes}[round])
 			for _, id := range probed {
 				assert.Assert(t, answered[id].IsZero(), "%s is probed twice", id)
 				answered[id] = now
 			}
 		}
-		assert.Equal(t, len(Culprits(now, streams, e)), 0)
+		assert.Equal(t, len(ProbeTargets(now, streams, e)), 0)
 	}
 }
 
@@ -79,10 +79,10 @@
 		{0, defaultFirstEvent - 1, false},
 		{0, defaultFirstEvent, true},
 	} {
-		stream := Flow{Path: []pkid.TargetID{"a"}, Last: now.Add(-row.silentFor), First: row.first}
+		stream := Stream{Path: []pkid.TargetID{"a"}, LastProgress: now.Add(-row.silentFor), MaxFirstWait: row.first}
 		assert.Equal(t, stream.Silent(now), row.want, "%+v", row)
-		sent := Flow{Path: []pkid.TargetID{"x"}, Last: now}
-		assert.Equal(t, len(Culprits(now, []Flow{testStream(time.Second, "x"), testStream(time.Second, "x"), sent}, Evidence{})), 1, "a stream that was just sent is no sign of life")
+		sent := Stream{Path: []pkid.TargetID{"x"}, LastProgress: now}
+		assert.Equal(t, len(ProbeTargets(now, []Stream{testStream(time.Second, "x"), testStream(time.Second, "x"), sent}, Evidence{})), 1, "a stream that was just sent is no sign of life")
 	}
 }
 
