--- a/pkedge/gossip.go
+++ b/pkedge/gossip.go
@@ -273,7 +273,7 @@
 		DataCenter: d.settings.DataCenter, ProcessorShare: float32(d.settings.ProcessorShare),
 		Following: d.listed.Load() && !d.roster.Away(),
 		Cases:     d.quarantine.table.News(now), Held: d.quarantine.table.Sum(now),
-		Paces: d.paces.Words(now),
+		Paces: d.paces.Observations(now),
 	}
 	if back := now.Sub(d.roster.Returned()); back < storeReturnAnnounceTime {
 		m.StoreBackMS = max(back.Milliseconds(), 1)
--- a/pkedge/pace.go
+++ b/pkedge/pace.go
@@ -62,7 +62,7 @@
 
 // pollInterval returns how long after a poll at now an engine is polled again.
 func (d *Daemon) pollInterval(now time.Time, t *pkreplica.Target) time.Duration {
-	if d.paces.Factor(now, t.ID, t.Born) > pkpace.Usual {
+	if d.paces.Factor(now, t.ID, t.Born) > pkpace.Nominal {
 		return slowReportInterval
 	}
 	return reportInterval
@@ -81,7 +81,7 @@
 // tells the other entries at once if it has changed.
 func (d *Daemon) updatePace(t *pkreplica.Target, report pkowner.Report, requested time.Time) {
 	factor := pkpace.Factor(report.Pace)
-	if !d.paces.Learn(time.Now(), t.ID, report.Born, factor, requested) {
+	if !d.paces.Record(time.Now(), t.ID, report.Born, factor, requested) {
 		return
 	}
 	d.log.Info("engine pace has changed", "target", t.ID, "factor", report.Pace, "source", "report")
@@ -89,10 +89,10 @@
 }
 
 // mergePaces merges the paces reported by another entry, and forwards changes if there are hubs.
-func (d *Daemon) mergePaces(now time.Time, reports []pkpace.Word) {
+func (d *Daemon) mergePaces(now time.Time, reports []pkpace.Observation) {
 	changed := false
 	for _, r := range reports {
-		if d.paces.Hear(now, r) {
+		if d.paces.Merge(now, r) {
 			changed = true
 		}
 	}
--- a/pkpace/table.go
+++ b/pkpace/table.go
@@ -14,8 +14,8 @@
 type Factor float64
 
 const (
-	// Usual is the factor of an engine with the nominal speed.
-	Usual Factor = 1
+	// Nominal is the factor of an engine with the nominal speed.
+	Nominal Factor = 1
 	// slowThreshold is the factor from which on an engine counts as slow; reports of healthy
 	// engines vary less.
 	slowThreshold Factor = 1.25
@@ -29,9 +29,9 @@
 	maxObservations = 256
 )
 
-// Word is an observation of an engine's factor, as it is sent between entries. It carries an age in
+// Observation is an observation of an engine's factor, as it is sent between entries. It carries an age in
 // place of a time, since the clocks of entries differ.
-type Word struct {
+type Observation struct {
 	Target pkid.TargetID `cbor:"1,keyasint"`
 	Factor Factor        `cbor:"2,keyasint"`
 	AgeMS  int64         `cbor:"3,keyasint"`
@@ -53,14 +53,14 @@
 	byTarget map[pkid.TargetID]record
 }
 
-// Learn records at now a factor observed at a given time, from a start of the engine that is zero
+// Record records at now a factor observed at a given time, from a start of the engine that is zero
 // if unknown. It reports whether the change is large enough to be sent to the other entries at
 // once. Invalid, expired and outdated observations are ignored.
-func (t *Table) Learn(now time.Time, id pkid.TargetID, born pkid.Birth, f Factor, at time.Time) bool {
+func (t *Table) Record(now time.Time, id pkid.TargetID, born pkid.Birth, f Factor, at time.Time) bool {
 	if f <= 0 || math.IsNaN(float64(f)) || at.After(now) || now.Sub(at) >= ttl {
 		return false
 	}
-	f = min(max(f, Usual), maxFactor)
+	f = min(max(f, Nominal), maxFactor)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	previous, known := t.byTarget[id]
@@ -74,17 +74,17 @@
 		t.byTarget = map[pkid.TargetID]record{}
 	}
 	t.byTarget[id] = record{factor: f, at: at, born: born}
-	last := Usual
+	last := Nominal
 	if known && now.Sub(previous.at) < ttl {
 		last = previous.factor
 	}
 	return f >= changeFactor*last || last >= changeFactor*f
 }
 
-// Hear records an observation of another entry at now and reports whether it is to be sent on at
+// Merge records an observation of another entry at now and reports whether it is to be sent on at
 // once.
-func (t *Table) Hear(now time.Time, o Word) bool {
-	return t.Learn(now, o.Target, o.Born, o.Factor, now.Add(-time.Duration(max(o.AgeMS, 0))*time.Millisecond))
+func (t *Table) Merge(now time.Time, o Observation) bool {
+	return t.Record(now, o.Target, o.Born, o.Factor, now.Add(-time.Duration(max(o.AgeMS, 0))*time.Millisecond))
 }
 
 // Factor returns the factor of an engine at now; observations of an earlier start are ignored.
@@ -93,7 +93,7 @@
 	defer t.mu.Unlock()
 	o, known := t.byTarget[id]
 	if !known || now.Sub(o.at) >= ttl || (o.born != 0 && o.born < born) {
-		return Usual
+		return Nominal
 	}
 	return o.factor
 }
@@ -111,20 +111,22 @@
 	return n
 }
 
-// Words returns the valid observations at now, the slowest engines first, and deletes the expired
+// Observations returns the valid observations at now, the slowest engines first, and deletes the expired
 // ones.
-func (t *Table) Words(now time.Time) []Word {
+func (t *Table) Observations(now time.Time) []Observation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var out []Word
+	var out []Observation
 	for id, o := range t.byTarget {
 		age := now.Sub(o.at)
 		if age >= ttl {
 			delete(t.byTarget, id)
 			continue
 		}
-		out = append(out, Word{Target: id, Factor: o.factor, AgeMS: age.Milliseconds(), Born: o.born})
+		out = append(out, Observation{Target: id, Factor: o.factor, AgeMS: age.Milliseconds(), Born: o.born})
 	}
-	slices.SortFunc(out, func(a, b Word) int { return cmp.Or(cmp.Compare(b.Factor, a.Factor), cmp.Compare(a.Target, b.Target)) })
+	slices.SortFunc(out, func(a, b Observation) int {
+		return cmp.Or(cmp.Compare(b.Factor, a.Factor), cmp.Compare(a.Target, b.Target))
+	})
 	return out[:min(len(out), maxObservations)]
 }
--- a/pkshare/message.go
+++ b/pkshare/message.go
@@ -52,7 +52,7 @@
 	// the store was restored from an older copy and holds another version at a later revision.
 	Version pkconfig.Version `cbor:"22,keyasint,omitempty"`
 	// Paces are engines that are, or recently were, slower than their kind.
-	Paces []pkpace.Word `cbor:"21,keyasint,omitempty"`
+	Paces []pkpace.Observation `cbor:"21,keyasint,omitempty"`
 	// DataCenter and ProcessorShare are those of the sender.
 	DataCenter     pkid.DataCenter `cbor:"12,keyasint,omitempty"`
 	ProcessorShare float32         `cbor:"14,keyasint,omitempty"`
