--- a/pkedge/broadcast.go
+++ b/pkedge/broadcast.go
@@ -14,7 +14,7 @@
 	s := &d.gossip
 	sums := d.sums(now, m, due)
 	if changed {
-		s.table.Told(m)
+		s.table.RecordSent(m)
 	}
 	ids := map[string]pkid.EntryID{}
 	for _, one := range s.table.Members(now) {
@@ -49,7 +49,7 @@
 
 // hubSums are the sums of loads, by role, that are sent in place of an entry's own loads; empty
 // without hubs.
-type hubSums map[pkshare.Role]pkshare.SumFor
+type hubSums map[pkshare.Role]pkshare.SumUpdate
 
 // loadThresholdShare is the share of a target's request memory by which its load must change to be
 // sent by hubs. It equals a few usual requests and is below the error of their estimated lengths.
@@ -63,11 +63,11 @@
 	}
 	near, all := s.table.Sums(now, m)
 	out := hubSums{}
-	for role, sum := range map[pkshare.Role]pkshare.Sum{pkshare.OfHub: all, pkshare.FarHub: near} {
+	for role, sum := range map[pkshare.Role]pkshare.Sum{pkshare.Spoke: all, pkshare.RemoteHub: near} {
 		if due {
-			out[role] = s.table.Tell(role, sum, d.loadThreshold)
+			out[role] = s.table.NextUpdate(role, sum, d.loadThreshold)
 		} else {
-			out[role] = s.table.Again(role, sum)
+			out[role] = s.table.RepeatUpdate(role, sum)
 		}
 	}
 	return out
@@ -89,9 +89,9 @@
 	if !found {
 		return m
 	}
-	m.Loads, m.Flows, m.Sum = nil, nil, &sum.Changes
+	m.Loads, m.Flows, m.Sum = nil, nil, &sum.Delta
 	if form.complete {
-		m.Sum = &sum.Whole
+		m.Sum = &sum.Full
 	}
 	return m
 }
--- a/pkedge/configuration.go
+++ b/pkedge/configuration.go
@@ -30,7 +30,7 @@
 		// For an entry that has the list of replicas relayed, only this watch shows that the store
 		// is lost.
 		onLost: func() {
-			if d.gossip.table.Led(time.Now()) {
+			if d.gossip.table.ServedByHub(time.Now()) {
 				d.roster.StoreAway(time.Now())
 			}
 		},
@@ -41,7 +41,7 @@
 // onStoreBack records that the list of replicas is followed again.
 func (d *Daemon) onStoreBack() {
 	now := time.Now()
-	d.roster.StoreBack(now, func(since time.Time) bool { return d.gossip.table.Followed(now, since) })
+	d.roster.StoreBack(now, func(since time.Time) bool { return d.gossip.table.FollowedSince(now, since) })
 }
 
 // adopt puts a configuration in force unless a newer one is, and reports whether it did. A
--- a/pkedge/configuration_test.go
+++ b/pkedge/configuration_test.go
@@ -34,7 +34,7 @@
 // sentConfig returns the item that the daemon sends to an entry without a configuration.
 func (d *Daemon) sentConfig(t *testing.T, now time.Time) pkstore.Item {
 	t.Helper()
-	d.gossip.table.Hear(now, pkshare.Message{From: "fresh", Run: 1, Sequence: 1})
+	d.gossip.table.Apply(now, pkshare.Message{From: "fresh", Run: 1, Sequence: 1})
 	table := d.book.Table()
 	m := pkshare.Message{Config: table.Item.Revision, Version: table.Version}
 	const missingTime = 500 * time.Millisecond // the receiver must lack the configuration for longer
--- a/pkedge/control_test.go
+++ b/pkedge/control_test.go
@@ -16,7 +16,7 @@
 // relayedByHub makes a hub relay the list of replicas and the members to the daemon at now.
 func (d *Daemon) relayedByHub(now time.Time) {
 	d.members.known = true
-	d.receiveMessage(now, pkshare.Message{From: "hub", Run: 1, Sequence: 1, Following: true, Members: 40, Sum: &pkshare.Sum{All: true}})
+	d.receiveMessage(now, pkshare.Message{From: "hub", Run: 1, Sequence: 1, Following: true, Members: 40, Sum: &pkshare.Sum{Global: true}})
 }
 
 // Guards against many calls to the store while a fleet starts: entries that will have changes
--- a/pkedge/follower.go
+++ b/pkedge/follower.go
@@ -23,7 +23,7 @@
 	relayStartTimeout = 3 * time.Second
 	// rolesKnownAfter is the time after its start when an entry knows its role: it has read the
 	// members and updated its links since.
-	rolesKnownAfter = 2 * roundsPerLinkUpdate * pkshare.Every
+	rolesKnownAfter = 2 * roundsPerLinkUpdate * pkshare.Interval
 	// batchBaseEntries is the number of entries above which changes are collected for longer, in
 	// proportion: each change ends the watches of all entries, and each watch is a call to the
 	// store.
--- a/pkedge/gossip.go
+++ b/pkedge/gossip.go
@@ -24,7 +24,7 @@
 	// roundsPerLinkUpdate is the number of rounds after which the links to peers are updated.
 	roundsPerLinkUpdate = 3
 	// roundsPerSum is the number of rounds after which a message is due in fleets with hubs.
-	roundsPerSum = int(pkshare.EveryWithHubs / pkshare.Every)
+	roundsPerSum = int(pkshare.HubInterval / pkshare.Interval)
 	// storeReturnAnnounceTime is how long peers are told that the store has returned. It is longer
 	// than list entries that expired meanwhile take to be written again.
 	storeReturnAnnounceTime = 5 * time.Second
@@ -33,8 +33,8 @@
 	sendBatchDelay = 5 * time.Millisecond
 	// loadSumInterval is how often the loads of the other entries are summed, twice as often as
 	// they are reported; loadSumIntervalWithHubs is the same if hubs report them.
-	loadSumInterval         = pkshare.Every / 2
-	loadSumIntervalWithHubs = pkshare.EveryWithHubs / 2
+	loadSumInterval         = pkshare.Interval / 2
+	loadSumIntervalWithHubs = pkshare.HubInterval / 2
 )
 
 // gossip is the exchange of state with the other entries.
@@ -103,15 +103,15 @@
 
 // receiveMessage merges a message of another entry.
 func (d *Daemon) receiveMessage(now time.Time, m pkshare.Message) {
-	if m.From == d.settings.Entry || !d.gossip.table.Hear(now, m) {
+	if m.From == d.settings.Entry || !d.gossip.table.Apply(now, m) {
 		return
 	}
 	d.recordEra(now, max(m.Config, m.List), "peer "+string(m.From))
 	if m.NewConfig != nil {
 		d.adopt(*m.NewConfig, "peer "+string(m.From))
 	}
-	if m.StoreBackMS > 0 {
-		d.roster.StoreReturned(now.Add(-time.Duration(m.StoreBackMS) * time.Millisecond))
+	if m.StoreRecoveredAgoMS > 0 {
+		d.roster.StoreReturned(now.Add(-time.Duration(m.StoreRecoveredAgoMS) * time.Millisecond))
 	}
 	if m.RecordsAfter != nil {
 		d.replicasChanged(d.roster.Learn(now, m.NewRecords, *m.RecordsAfter, m.List), m.List, "peer "+string(m.From))
@@ -141,7 +141,7 @@
 	for _, t := range all {
 		own[t.ID] = t.Own()
 	}
-	loads := d.gossip.table.Others(now, d.entryCount(now), own)
+	loads := d.gossip.table.PeerLoads(now, d.entryCount(now), own)
 	for _, t := range all {
 		t.SetOthers(loads[t.ID])
 	}
@@ -150,9 +150,9 @@
 // reportDelay returns how long it takes until all other entries know of a request.
 func (s *gossip) reportDelay() time.Duration {
 	if s.withHubs.Load() {
-		return 3 * pkshare.EveryWithHubs / 2
+		return 3 * pkshare.HubInterval / 2
 	}
-	return pkshare.Every
+	return pkshare.Interval
 }
 
 // sendToPeers keeps the links to the other entries and sends them messages. Messages are built and
@@ -167,13 +167,13 @@
 		now := time.Now()
 		m := d.message(now)
 		due = due || !s.withHubs.Load() || len(m.Suspects) != len(before.Suspects)
-		changed := due && (hasChanges(before, m) || now.Sub(last) >= pkshare.Quiet)
+		changed := due && (hasChanges(before, m) || now.Sub(last) >= pkshare.HeartbeatInterval)
 		if changed {
 			before, last = m, now
 		}
 		d.broadcast(now, m, due, changed)
 	}
-	pktimer.EveryOr(ctx, pkshare.Every, s.sendNow, func(ctx context.Context) {
+	pktimer.EveryOr(ctx, pkshare.Interval, s.sendNow, func(ctx context.Context) {
 		if round%roundsPerLinkUpdate == 0 {
 			d.updateLinks(ctx, time.Now())
 		}
@@ -211,8 +211,8 @@
 
 // addMissing adds to a message the state that its receiver lacks, and reports whether there is any.
 func (d *Daemon) addMissing(now time.Time, m *pkshare.Message, to pkid.EntryID, role pkshare.Role) bool {
-	known := pkshare.Known{Self: d.settings.Entry, Config: m.Config, Version: m.Version, List: m.List, Held: m.Held, Hub: role != pkshare.Peer}
-	misses := d.gossip.table.Misses(now, to, known)
+	known := pkshare.LocalState{Self: d.settings.Entry, Config: m.Config, Version: m.Version, List: m.List, QuarantineChecksum: m.QuarantineChecksum, Hub: role != pkshare.Peer}
+	misses := d.gossip.table.CatchUpFor(now, to, known)
 	if table := d.book.Table(); misses.Config && table != nil {
 		item := table.Item
 		m.NewConfig = &item
@@ -220,10 +220,10 @@
 	if misses.List {
 		m.NewRecords, m.RecordsAfter = d.roster.Since(misses.After), &misses.After
 	}
-	if misses.Held {
+	if misses.Quarantine {
 		m.Cases = append(d.quarantine.table.Held(now), m.Cases...)
 	}
-	return misses.Config || misses.List || misses.Held
+	return misses.Config || misses.List || misses.Quarantine
 }
 
 // roles returns the role of each peer to send to by its address. Peers are the members in the store
@@ -243,15 +243,15 @@
 	}
 	delete(byAddr, self.Addr)
 	delete(byAddr, "")
-	d.gossip.withHubs.Store(pkshare.WithHubs(len(byAddr)))
+	d.gossip.withHubs.Store(pkshare.UsesHubs(len(byAddr)))
 	others := slices.Collect(maps.Values(byAddr))
-	d.gossip.first.Store(d.gossip.table.IsFirst(now, self, others))
+	d.gossip.first.Store(d.gossip.table.IsDesignated(now, self, others))
 	return d.gossip.table.Roles(now, self, others)
 }
 
 // hasChanges reports whether message b must be sent after message a.
 func hasChanges(a, b pkshare.Message) bool {
-	if a.Config != b.Config || a.Version != b.Version || a.List != b.List || a.Held != b.Held || len(a.Loads) != len(b.Loads) {
+	if a.Config != b.Config || a.Version != b.Version || a.List != b.List || a.QuarantineChecksum != b.QuarantineChecksum || len(a.Loads) != len(b.Loads) {
 		return true
 	}
 	if len(b.Suspects) > 0 || len(a.Cases) > 0 || len(b.Paces) > 0 {
@@ -272,16 +272,16 @@
 		From: d.settings.Entry, Addr: s.addr, Run: s.run, List: d.roster.At(),
 		DataCenter: d.settings.DataCenter, ProcessorShare: float32(d.settings.ProcessorShare),
 		Following: d.listed.Load() && !d.roster.Away(),
-		Cases:     d.quarantine.table.News(now), Held: d.quarantine.table.Sum(now),
+		Cases:     d.quarantine.table.News(now), QuarantineChecksum: d.quarantine.table.Sum(now),
 		Paces: d.paces.Observations(now),
 	}
 	if back := now.Sub(d.roster.Returned()); back < storeReturnAnnounceTime {
-		m.StoreBackMS = max(back.Milliseconds(), 1)
+		m.StoreRecoveredAgoMS = max(back.Milliseconds(), 1)
 	}
 	for _, f := range d.pipes.Flows(now) {
 		m.Flows = append(m.Flows, pkshare.Flow{A: f.A, B: f.B, Tokens: float32(f.Tokens)})
 	}
-	if s.withHubs.Load() && s.table.MembersTold(now) == 0 {
+	if s.withHubs.Load() && s.table.HubMemberCount(now) == 0 {
 		m.Members = d.members.count(now, 0)
 	}
 	if table := d.book.Table(); table != nil {
@@ -298,8 +298,8 @@
 			continue
 		}
 		m.Suspects = append(m.Suspects, pkshare.Suspect{
-			Target: id, ForMS: left.Milliseconds(), Gone: one.fault == faultGone, Misplaced: one.fault == faultMisplaced,
-			Born: one.born, Entry: one.entry,
+			Target: id, RemainingMS: left.Milliseconds(), Gone: one.fault == faultGone, Misplaced: one.fault == faultMisplaced,
+			Born: one.born, RecordRevision: one.entry,
 		})
 	}
 	s.mu.Unlock()
--- a/pkedge/gossip_test.go
+++ b/pkedge/gossip_test.go
@@ -23,7 +23,7 @@
 	d.gossip.links = map[string]*link{}
 	for i := range others {
 		id := pkid.EntryID(fmt.Sprintf("m-%02d", i))
-		d.gossip.table.Hear(time.Now(), pkshare.Message{From: id, Addr: string(id), DataCenter: "a", Sequence: 1})
+		d.gossip.table.Apply(time.Now(), pkshare.Message{From: id, Addr: string(id), DataCenter: "a", Sequence: 1})
 		d.gossip.links[string(id)] = &link{cancel: func() {}, out: make(chan []byte, 1)}
 	}
 	return d
@@ -58,7 +58,7 @@
 		}},
 		{"by a hub that was told of it", 14, func(d *Daemon, now time.Time) {
 			d.receiveMessage(now, pkshare.Message{From: "m-09", Addr: "m-09", DataCenter: "a", Sequence: 2, Suspects: []pkshare.Suspect{
-				{Target: "dead", ForMS: suspectTTL.Milliseconds(), Gone: true},
+				{Target: "dead", RemainingMS: suspectTTL.Milliseconds(), Gone: true},
 			}})
 		}},
 	}
@@ -73,10 +73,10 @@
 				l := d.gossip.links["m-01"]
 				receivedSuspects(t, l)
 
-				time.Sleep(pkshare.Every / 3)
+				time.Sleep(pkshare.Interval / 3)
 				c.learn(d, time.Now())
 				time.Sleep(sendBatchDelay)
-				assert.DeepEqual(t, receivedSuspects(t, l), []pkshare.Suspect{{Target: "dead", ForMS: (suspectTTL - sendBatchDelay).Milliseconds(), Gone: true}})
+				assert.DeepEqual(t, receivedSuspects(t, l), []pkshare.Suspect{{Target: "dead", RemainingMS: (suspectTTL - sendBatchDelay).Milliseconds(), Gone: true}})
 
 				// A known suspicion waits for the next regular message.
 				c.learn(d, time.Now())
--- a/pkedge/members.go
+++ b/pkedge/members.go
@@ -75,7 +75,7 @@
 	m.mu.Lock()
 	may := m.known && m.owner != d.settings.Entry
 	m.mu.Unlock()
-	return may && d.gossip.table.Led(now)
+	return may && d.gossip.table.ServedByHub(now)
 }
 
 // list returns the members that accept messages.
@@ -91,7 +91,7 @@
 
 // entryCount returns the number of daemons that share limits of the whole fleet at now.
 func (d *Daemon) entryCount(now time.Time) int {
-	return d.members.count(now, d.gossip.table.MembersTold(now))
+	return d.members.count(now, d.gossip.table.HubMemberCount(now))
 }
 
 // followMembers follows the list of daemons and the owner of the pools.
--- a/pkedge/members_test.go
+++ b/pkedge/members_test.go
@@ -16,7 +16,7 @@
 	d, _ := poolDaemon()
 	d.settings.Entry = "own"
 	now := time.Now()
-	hub := pkshare.Message{From: "hub", Sequence: 1, Following: true, Members: 78, Sum: &pkshare.Sum{All: true}}
+	hub := pkshare.Message{From: "hub", Sequence: 1, Following: true, Members: 78, Sum: &pkshare.Sum{Global: true}}
 	d.receiveMessage(now, hub)
 	assert.Assert(t, !d.membersRelayed(now), "the members were not read yet")
 	d.members.known = true
--- a/pkedge/own.go
+++ b/pkedge/own.go
@@ -86,7 +86,7 @@
 	if now.Before(d.nextAcquire) || !d.era.mayTakeOver(now) {
 		return false
 	}
-	if d.gossip.table.Led(now) {
+	if d.gossip.table.ServedByHub(now) {
 		d.ownerlessSince = time.Time{}
 		return false
 	}
--- a/pkedge/quarantine_fleet_test.go
+++ b/pkedge/quarantine_fleet_test.go
@@ -70,7 +70,7 @@
 // round lets each entry send its messages once, at the interval of hubs.
 func (f *simFleet) round(t *testing.T) {
 	t.Helper()
-	f.now = f.now.Add(pkshare.EveryWithHubs)
+	f.now = f.now.Add(pkshare.HubInterval)
 	f.roundsPlayed++
 	for _, from := range f.entries {
 		if f.partitioned[from] {
@@ -82,11 +82,11 @@
 			to := f.byAddr[addr]
 			m := base
 			if role != pkshare.Peer {
-				m.Sum = &pkshare.Sum{All: role == pkshare.OfHub}
+				m.Sum = &pkshare.Sum{Global: role == pkshare.Spoke}
 			}
 			from.addMissing(f.now, &m, to.settings.Entry, role)
 			if f.olderBuild[from] {
-				m.Cases, m.Held = nil, 0
+				m.Cases, m.QuarantineChecksum = nil, 0
 			}
 			sent += size(t, quarantinePart(m))
 			if !f.partitioned[to] && !f.olderBuild[to] && f.rand.Float64() >= f.lossRate {
@@ -100,7 +100,7 @@
 
 // quarantinePart returns the part of a message about quarantined requests.
 func quarantinePart(m pkshare.Message) pkshare.Message {
-	return pkshare.Message{Cases: m.Cases, Held: m.Held}
+	return pkshare.Message{Cases: m.Cases, QuarantineChecksum: m.QuarantineChecksum}
 }
 
 // size returns the bytes of a message beyond those of an empty one.
@@ -172,7 +172,7 @@
 				took = f.roundsUntilQuarantined(t, f.entries...)
 				t.Logf("quarantined at a partitioned and a new entry after %v", took)
 				assert.Assert(t, took <= within && fresh.quarantine.table.Left(f.now, poison) > 0, "%v", took)
-				t.Logf("at most %d bytes about quarantined requests in %v", f.maxRoundBytes, pkshare.EveryWithHubs)
+				t.Logf("at most %d bytes about quarantined requests in %v", f.maxRoundBytes, pkshare.HubInterval)
 			})
 		}
 	}
--- a/pkedge/restart_test.go
+++ b/pkedge/restart_test.go
@@ -59,7 +59,7 @@
 			assert.NilError(t, err)
 		},
 		"peer": func(d *Daemon) {
-			d.receiveSuspicion(now, "other", pkshare.Suspect{Target: "b", ForMS: 1000, Born: 200})
+			d.receiveSuspicion(now, "other", pkshare.Suspect{Target: "b", RemainingMS: 1000, Born: 200})
 		},
 	}
 	for name, showRestart := range sources {
@@ -106,7 +106,7 @@
 func TestSuspicionOfAnEarlierStartIsDropped(t *testing.T) {
 	now := time.Now()
 	d, _ := poolDaemon(withBirth(engine("a", "x", 0, 80), 200))
-	report := pkshare.Suspect{Target: "a", ForMS: 4000, Gone: true, Born: 100}
+	report := pkshare.Suspect{Target: "a", RemainingMS: 4000, Gone: true, Born: 100}
 	d.receiveSuspicion(now, "other", report)
 	assert.Assert(t, !d.target(t, "a").Avoided(now))
 	report.Born = 200
--- a/pkedge/suspect.go
+++ b/pkedge/suspect.go
@@ -164,7 +164,7 @@
 // receiveSuspicion applies a suspicion reported by another entry and forwards it if there are hubs.
 // Reports about an earlier start of the target, or an earlier list entry of it, are dropped.
 func (d *Daemon) receiveSuspicion(now time.Time, from pkid.EntryID, report pkshare.Suspect) {
-	s := suspicion{until: now.Add(time.Duration(report.ForMS) * time.Millisecond), born: report.Born, entry: report.Entry}
+	s := suspicion{until: now.Add(time.Duration(report.RemainingMS) * time.Millisecond), born: report.Born, entry: report.RecordRevision}
 	switch {
 	case report.Gone:
 		s.fault = faultGone
@@ -180,7 +180,7 @@
 		}
 		if !t.IsDead(now) {
 			d.log.Info("target suspected on a report from a peer", "target", t.ID, "peer", from, "gone", report.Gone,
-				"misplaced", report.Misplaced, "born", report.Born, "for_ms", report.ForMS)
+				"misplaced", report.Misplaced, "born", report.Born, "for_ms", report.RemainingMS)
 		}
 		d.applySuspicion(t, s)
 	}
--- a/pkshare/delta.go
+++ b/pkshare/delta.go
@@ -8,8 +8,8 @@
 	"peridotknot.example/pkid"
 )
 
-// Grain returns the change in a target's load above which it is sent, in tokens times layers.
-type Grain func(pkid.TargetID) float64
+// Threshold returns the change in a target's load above which it is sent, in tokens times layers.
+type Threshold func(pkid.TargetID) float64
 
 // sentLoads are the loads last sent to the receivers of one role; the zero value is none.
 //
@@ -22,7 +22,7 @@
 
 // update returns the loads that changed by more than the threshold, in order of target, and records
 // them as sent. A load of zero tokens removes one.
-func (t *sentLoads) update(current []Load, threshold Grain) []Load {
+func (t *sentLoads) update(current []Load, threshold Threshold) []Load {
 	if t.loads == nil {
 		t.loads = map[pkid.TargetID]Load{}
 	}
@@ -82,31 +82,31 @@
 	return out
 }
 
-// SumFor is an update of a sum for the receivers of one role: the changes since the last update,
+// SumUpdate is an update of a sum for the receivers of one role: the changes since the last update,
 // and the whole sum for a receiver that may have missed one.
-type SumFor struct {
-	Changes Sum
-	Whole   Sum
+type SumUpdate struct {
+	Delta Sum
+	Full  Sum
 }
 
-// Tell returns the next update of a sum for the receivers of a role. Loads that changed by more
+// NextUpdate returns the next update of a sum for the receivers of a role. Loads that changed by more
 // than the threshold count as sent.
-func (t *Table) Tell(role Role, s Sum, threshold Grain) SumFor {
+func (t *Table) NextUpdate(role Role, s Sum, threshold Threshold) SumUpdate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	sent := &t.sentSums[role]
-	out := SumFor{Changes: s, Whole: s}
-	out.Changes.Partial, out.Changes.Changed, out.Changes.Loads = true, sent.update(s.Loads, threshold), nil
-	out.Whole.Loads = sent.all()
+	out := SumUpdate{Delta: s, Full: s}
+	out.Delta.Partial, out.Delta.Changed, out.Delta.Loads = true, sent.update(s.Loads, threshold), nil
+	out.Full.Loads = sent.all()
 	return out
 }
 
-// Again returns an update without further changes, for messages between two sums.
-func (t *Table) Again(role Role, s Sum) SumFor {
+// RepeatUpdate returns an update without further changes, for messages between two sums.
+func (t *Table) RepeatUpdate(role Role, s Sum) SumUpdate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := SumFor{Changes: s, Whole: s}
-	out.Changes.Partial, out.Changes.Changed, out.Changes.Loads = true, nil, nil
-	out.Whole.Loads = t.sentSums[role].all()
+	out := SumUpdate{Delta: s, Full: s}
+	out.Delta.Partial, out.Delta.Changed, out.Delta.Loads = true, nil, nil
+	out.Full.Loads = t.sentSums[role].all()
 	return out
 }
--- a/pkshare/delta_test.go
+++ b/pkshare/delta_test.go
@@ -34,22 +34,22 @@
 					truth[id] = max(truth[id]+400*(r.Float64()-0.4), 1)
 				}
 			}
-			s := Sum{All: true, Entries: 3}
+			s := Sum{Global: true, Entries: 3}
 			for id, tokens := range truth {
 				s.Loads = append(s.Loads, Load{Target: id, Tokens: float32(tokens)})
 			}
-			update := hub.Tell(OfHub, s, threshold)
-			message := update.Changes
+			update := hub.NextUpdate(Spoke, s, threshold)
+			message := update.Delta
 			if round == 0 || r.IntN(10) == 0 {
-				message = update.Whole // on a new connection
+				message = update.Full // on a new connection
 			}
 			if r.IntN(10) == 0 {
-				message = hub.Again(OfHub, s).Whole // repeated before the next sum
+				message = hub.RepeatUpdate(Spoke, s).Full // repeated before the next sum
 			}
 			sequence++
-			now := time.Unix(1000, 0).Add(time.Duration(round) * EveryWithHubs)
-			assert.Assert(t, entry.Hear(now, Message{From: "hub", Run: 1, Sequence: sequence, Sum: &message}))
-			got := entry.Others(now, 3, nil)
+			now := time.Unix(1000, 0).Add(time.Duration(round) * HubInterval)
+			assert.Assert(t, entry.Apply(now, Message{From: "hub", Run: 1, Sequence: sequence, Sum: &message}))
+			got := entry.PeerLoads(now, 3, nil)
 			for id, l := range got {
 				_, exists := truth[id]
 				assert.Assert(t, exists, "seed %d: %s has ended", seed, id)
@@ -66,28 +66,28 @@
 // pool.
 func TestSmallChangesAreNotSent(t *testing.T) {
 	var hub Table
-	s := Sum{All: true}
+	s := Sum{Global: true}
 	for i := range 1000 {
 		s.Loads = append(s.Loads, Load{Target: pkid.TargetID(fmt.Sprintf("%04d", i)), Tokens: 5000})
 	}
-	assert.Equal(t, len(hub.Tell(OfHub, s, threshold).Changes.Changed), 1000)
+	assert.Equal(t, len(hub.NextUpdate(Spoke, s, threshold).Delta.Changed), 1000)
 	for i := range s.Loads {
 		s.Loads[i].Tokens += testThreshold / 2
 	}
 	s.Loads[7].Tokens += testThreshold
-	assert.Equal(t, len(hub.Tell(OfHub, s, threshold).Changes.Changed), 1)
-	assert.Equal(t, len(hub.Tell(FarHub, s, threshold).Changes.Changed), 1000, "other receivers")
+	assert.Equal(t, len(hub.NextUpdate(Spoke, s, threshold).Delta.Changed), 1)
+	assert.Equal(t, len(hub.NextUpdate(RemoteHub, s, threshold).Delta.Changed), 1000, "other receivers")
 }
 
 // Loads of a hub's earlier run must not be kept beside those of its new run.
 func TestRestartedHubReplacesItsLoads(t *testing.T) {
 	var entry Table
 	now := time.Unix(1000, 0)
-	first := Sum{All: true, Entries: 2, Loads: []Load{{Target: "a", Tokens: 7}}}
-	entry.Hear(now, Message{From: "hub", Run: 1, Sequence: 9, Sum: &first})
-	second := Sum{All: true, Entries: 2, Partial: true, Changed: []Load{{Target: "b", Tokens: 5}}}
-	entry.Hear(now, Message{From: "hub", Run: 2, Sequence: 1, Sum: &second})
-	got := entry.Others(now, 2, nil)
+	first := Sum{Global: true, Entries: 2, Loads: []Load{{Target: "a", Tokens: 7}}}
+	entry.Apply(now, Message{From: "hub", Run: 1, Sequence: 9, Sum: &first})
+	second := Sum{Global: true, Entries: 2, Partial: true, Changed: []Load{{Target: "b", Tokens: 5}}}
+	entry.Apply(now, Message{From: "hub", Run: 2, Sequence: 1, Sum: &second})
+	got := entry.PeerLoads(now, 2, nil)
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, got["b"].Tokens, 5.0)
 }
--- a/pkshare/hub.go
+++ b/pkshare/hub.go
@@ -38,20 +38,20 @@
 const (
 	// Peer is sent the loads of this entry.
 	Peer Role = iota
-	// OfHub is an entry that this hub serves; it is sent the sum over all entries.
-	OfHub
-	// FarHub is a hub of another data centre; it is sent the sum over the entries of this one.
-	FarHub
+	// Spoke is an entry that this hub serves; it is sent the sum over all entries.
+	Spoke
+	// RemoteHub is a hub of another data centre; it is sent the sum over the entries of this one.
+	RemoteHub
 )
 
-const roleCount = int(FarHub) + 1
+const roleCount = int(RemoteHub) + 1
 
-// WithHubs reports whether entries use hubs where there are that many others.
-func WithHubs(others int) bool { return others >= hubThreshold }
+// UsesHubs reports whether entries use hubs where there are that many others.
+func UsesHubs(others int) bool { return others >= hubThreshold }
 
-// IsFirst reports whether this entry is one of the designated entries of its data centre at now.
+// IsDesignated reports whether this entry is one of the designated entries of its data centre at now.
 // They are its hubs where there are hubs.
-func (t *Table) IsFirst(now time.Time, self Member, others []Member) bool {
+func (t *Table) IsDesignated(now time.Time, self Member, others []Member) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Contains(t.hubs(now, self, append(slices.Clone(others), self), self.DataCenter), self.ID)
@@ -66,7 +66,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := map[string]Role{}
-	if !WithHubs(len(others)) {
+	if !UsesHubs(len(others)) {
 		for _, m := range others {
 			out[m.Addr] = Peer
 		}
@@ -80,9 +80,9 @@
 		case m.DataCenter == self.DataCenter && slices.Contains(local, m.ID):
 			out[m.Addr] = Peer
 		case m.DataCenter == self.DataCenter && isHub:
-			out[m.Addr] = OfHub
+			out[m.Addr] = Spoke
 		case isHub && slices.Contains(t.hubs(now, self, all, m.DataCenter), m.ID):
-			out[m.Addr] = FarHub
+			out[m.Addr] = RemoteHub
 		}
 	}
 	return out
@@ -127,9 +127,9 @@
 
 // Sum is the total load of several entries.
 type Sum struct {
-	// All says that the sum covers all entries; otherwise it covers those of the sender's data
+	// Global says that the sum covers all entries; otherwise it covers those of the sender's data
 	// centre.
-	All bool `cbor:"1,keyasint"`
+	Global bool `cbor:"1,keyasint"`
 	// Entries is the number of entries in the sum.
 	Entries int    `cbor:"2,keyasint"`
 	Loads   []Load `cbor:"3,keyasint,omitempty"`
@@ -172,7 +172,7 @@
 func (t *Table) remoteSums(now time.Time) map[pkid.DataCenter]*peer {
 	out := map[pkid.DataCenter]*peer{}
 	for _, p := range t.peers {
-		if p.sum == nil || p.sum.All || now.Sub(p.heardAt) >= staleAfter {
+		if p.sum == nil || p.sum.Global || now.Sub(p.heardAt) >= staleAfter {
 			continue
 		}
 		if old := out[p.dataCenter]; old == nil || p.heardAt.After(old.heardAt) {
@@ -186,7 +186,7 @@
 func (t *Table) globalSum(now time.Time) *Sum {
 	var best *peer
 	for _, p := range t.peers {
-		if p.sum != nil && p.sum.All && now.Sub(p.heardAt) < staleAfter && (best == nil || p.heardAt.After(best.heardAt)) {
+		if p.sum != nil && p.sum.Global && now.Sub(p.heardAt) < staleAfter && (best == nil || p.heardAt.After(best.heardAt)) {
 			best = p
 		}
 	}
@@ -240,8 +240,8 @@
 	return sum
 }
 
-// Told records the message that this entry last sent to its hubs.
-func (t *Table) Told(m Message) {
+// RecordSent records the message that this entry last sent to its hubs.
+func (t *Table) RecordSent(m Message) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lastSent = m
@@ -300,7 +300,7 @@
 
 // sum returns the totals in a fixed order.
 func (a *accumulator) sum(all bool) Sum {
-	out := Sum{All: all, Entries: a.entries}
+	out := Sum{Global: all, Entries: a.entries}
 	for _, l := range a.loads {
 		out.Loads = append(out.Loads, l)
 	}
--- a/pkshare/hub_test.go
+++ b/pkshare/hub_test.go
@@ -53,7 +53,7 @@
 // runRound runs one round in which each entry holds one request of 10 tokens.
 func (f *fleet) runRound() {
 	f.round++
-	f.now = f.now.Add(EveryWithHubs)
+	f.now = f.now.Add(HubInterval)
 	f.sent = map[pkid.EntryID]int{}
 	type message struct {
 		to pkid.EntryID
@@ -69,13 +69,13 @@
 		own.Loads = []Load{{Target: "t", Requests: 1, Tokens: 10}}
 		own.Flows = []Flow{{A: "a", B: "b", Tokens: 10}}
 		local, global := t.Sums(f.now, own)
-		t.Told(own)
+		t.RecordSent(own)
 		for addr, role := range t.Roles(f.now, self, f.others(self.ID)) {
 			m := own
 			switch role {
-			case OfHub:
+			case Spoke:
 				m.Loads, m.Flows, m.Sum = nil, nil, &global
-			case FarHub:
+			case RemoteHub:
 				m.Loads, m.Flows, m.Sum = nil, nil, &local
 			case Peer:
 			}
@@ -85,7 +85,7 @@
 	}
 	for _, one := range all {
 		if !f.dead[one.to] {
-			f.tables[one.to].Hear(f.now, one.m)
+			f.tables[one.to].Apply(f.now, one.m)
 		}
 	}
 }
@@ -101,7 +101,7 @@
 		if f.dead[m.ID] {
 			continue
 		}
-		got := f.tables[m.ID].Others(f.now, f.live(), own)["t"].Tokens
+		got := f.tables[m.ID].PeerLoads(f.now, f.live(), own)["t"].Tokens
 		assert.Assert(t, math.Abs(got-want) < 0.5, "%s: tokens of others: got %v, want %v", m.ID, got, want)
 		flow := f.tables[m.ID].Flow(f.now, f.live(), "b", "a", 10)
 		assert.Assert(t, math.Abs(flow-want) < 0.5, "%s: tokens between data centres: got %v, want %v", m.ID, flow, want)
@@ -132,7 +132,7 @@
 	}
 	for _, id := range []pkid.EntryID{"a-08", "a-09", "b-09"} {
 		f.dead[id] = true
-		for range int((hubGrace+staleAfter)/EveryWithHubs) + 5 {
+		for range int((hubGrace+staleAfter)/HubInterval) + 5 {
 			f.runRound()
 		}
 		f.check(t)
@@ -150,7 +150,7 @@
 		f.runRound()
 	}
 	delete(f.dead, "a-07")
-	for range int((hubGrace+hubExclusion)/EveryWithHubs) + 5 {
+	for range int((hubGrace+hubExclusion)/HubInterval) + 5 {
 		f.runRound()
 	}
 	f.check(t)
@@ -162,39 +162,39 @@
 func TestHubsSendCatchUpWhateverOthersKnow(t *testing.T) {
 	var table Table
 	for i := range 4 {
-		table.Hear(start, newMessage(pkid.EntryID(fmt.Sprint("a-", i)), 1, 9, 1))
+		table.Apply(start, newMessage(pkid.EntryID(fmt.Sprint("a-", i)), 1, 9, 1))
 	}
-	table.Hear(start, newMessage("late", 1, 5, 1))
-	k := Known{Self: "hub", Config: 9, List: 9, Hub: true}
-	list := Help{List: true, After: pkstore.Revision(5)}
-	assert.Equal(t, table.Misses(start, "late", k), list)
+	table.Apply(start, newMessage("late", 1, 5, 1))
+	k := LocalState{Self: "hub", Config: 9, List: 9, Hub: true}
+	list := CatchUp{List: true, After: pkstore.Revision(5)}
+	assert.Equal(t, table.CatchUpFor(start, "late", k), list)
 	later := start.Add(catchUpDelay)
-	assert.Equal(t, table.Misses(later, "late", k), Help{Config: true})
-	assert.Equal(t, table.Misses(later, "late", k), Help{})
-	table.Hear(start.Add(catchUpRetry), newMessage("late", 2, 5, 1))
-	assert.Equal(t, table.Misses(start.Add(catchUpRetry), "late", k), list)
+	assert.Equal(t, table.CatchUpFor(later, "late", k), CatchUp{Config: true})
+	assert.Equal(t, table.CatchUpFor(later, "late", k), CatchUp{})
+	table.Apply(start.Add(catchUpRetry), newMessage("late", 2, 5, 1))
+	assert.Equal(t, table.CatchUpFor(start.Add(catchUpRetry), "late", k), list)
 }
 
 // Entries must watch the replica list themselves if no live hub watches it for them.
 func TestOnlyWatchingHubsServeEntries(t *testing.T) {
 	var table Table
 	hub := newMessage("hub", 1, 9, 1)
-	assert.Assert(t, !table.Led(start))
+	assert.Assert(t, !table.ServedByHub(start))
 	hub.Following = true
-	table.Hear(start, hub)
-	assert.Assert(t, !table.Led(start), "it sent no sum over all entries")
-	hub.Sequence, hub.Sum = 2, &Sum{All: true}
-	table.Hear(start, hub)
-	assert.Assert(t, !table.Led(start), "it did not report the number of members")
+	table.Apply(start, hub)
+	assert.Assert(t, !table.ServedByHub(start), "it sent no sum over all entries")
+	hub.Sequence, hub.Sum = 2, &Sum{Global: true}
+	table.Apply(start, hub)
+	assert.Assert(t, !table.ServedByHub(start), "it did not report the number of members")
 	hub.Sequence, hub.Members = 3, 78
-	table.Hear(start, hub)
-	assert.Assert(t, table.Led(start))
-	assert.Equal(t, table.MembersTold(start), 78)
-	assert.Assert(t, !table.Led(start.Add(staleAfter)))
-	assert.Equal(t, table.MembersTold(start.Add(staleAfter)), 0)
+	table.Apply(start, hub)
+	assert.Assert(t, table.ServedByHub(start))
+	assert.Equal(t, table.HubMemberCount(start), 78)
+	assert.Assert(t, !table.ServedByHub(start.Add(staleAfter)))
+	assert.Equal(t, table.HubMemberCount(start.Add(staleAfter)), 0)
 	hub.Sequence, hub.Following = 4, false
-	table.Hear(start, hub)
-	assert.Assert(t, !table.Led(start))
+	table.Apply(start, hub)
+	assert.Assert(t, !table.ServedByHub(start))
 }
 
 // Work that is done once or twice per data centre must be taken over when a designated entry fails,
@@ -206,7 +206,7 @@
 		designated := func() map[pkid.DataCenter][]pkid.EntryID {
 			out := map[pkid.DataCenter][]pkid.EntryID{}
 			for _, m := range f.members {
-				if !f.dead[m.ID] && f.tables[m.ID].IsFirst(f.now, m, f.others(m.ID)) {
+				if !f.dead[m.ID] && f.tables[m.ID].IsDesignated(f.now, m, f.others(m.ID)) {
 					out[m.DataCenter] = append(out[m.DataCenter], m.ID)
 				}
 			}
@@ -220,7 +220,7 @@
 			continue
 		}
 		f.dead = map[pkid.EntryID]bool{before["a"][0]: true}
-		for range int(2*hubGrace/EveryWithHubs) + 1 {
+		for range int(2*hubGrace/HubInterval) + 1 {
 			f.runRound()
 			designated()
 		}
--- a/pkshare/message.go
+++ b/pkshare/message.go
@@ -36,18 +36,18 @@
 	RecordsAfter *pkstore.Revision `cbor:"15,keyasint,omitempty"`
 	// Following says that the sender watches the replica list in the store and can reach the store.
 	Following bool `cbor:"16,keyasint,omitempty"`
-	// StoreBackMS is how many milliseconds ago the sender could reach the store again; zero where
+	// StoreRecoveredAgoMS is how many milliseconds ago the sender could reach the store again; zero where
 	// that is not recent.
-	StoreBackMS int64 `cbor:"17,keyasint,omitempty"`
+	StoreRecoveredAgoMS int64 `cbor:"17,keyasint,omitempty"`
 	// Members is the number of entries that a hub knows from the store; zero where it has that
 	// number from a hub itself.
 	Members int `cbor:"18,keyasint,omitempty"`
 	// Cases are quarantine cases that the sender learned recently or that the receiver appears to
 	// lack.
 	Cases []pkquarantine.Case `cbor:"19,keyasint,omitempty"`
-	// Held is a checksum of the sender's quarantined requests; zero from builds without a
+	// QuarantineChecksum is a checksum of the sender's quarantined requests; zero from builds without a
 	// quarantine.
-	Held pkquarantine.Sum `cbor:"20,keyasint,omitempty"`
+	QuarantineChecksum pkquarantine.Sum `cbor:"20,keyasint,omitempty"`
 	// Version is the version of the configuration at Config. It orders configurations even where
 	// the store was restored from an older copy and holds another version at a later revision.
 	Version pkconfig.Version `cbor:"22,keyasint,omitempty"`
@@ -81,14 +81,14 @@
 // Suspect is a target that is avoided for some more milliseconds. Messages carry durations in place
 // of times, since the clocks of entries differ.
 type Suspect struct {
-	Target pkid.TargetID `cbor:"1,keyasint"`
-	ForMS  int64         `cbor:"2,keyasint"`
+	Target      pkid.TargetID `cbor:"1,keyasint"`
+	RemainingMS int64         `cbor:"2,keyasint"`
 	// Gone says that the target's address refused a connection, so that its process has ended.
 	Gone bool `cbor:"3,keyasint,omitempty"`
 	// Born is the start of the target that was found faulty, where it is known.
 	Born pkid.Birth `cbor:"4,keyasint,omitempty"`
 	// Misplaced says that the target does not hold what its record in the replica list says at the
 	// revision below; a later record is trusted again.
-	Misplaced bool             `cbor:"5,keyasint,omitempty"`
-	Entry     pkstore.Revision `cbor:"6,keyasint,omitempty"`
+	Misplaced      bool             `cbor:"5,keyasint,omitempty"`
+	RecordRevision pkstore.Revision `cbor:"6,keyasint,omitempty"`
 }
--- a/pkshare/table.go
+++ b/pkshare/table.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// Every is the interval between messages. It is a small fraction of a request's duration, since
+	// Interval is the interval between messages. It is a small fraction of a request's duration, since
 	// entries with older load data would crowd on the same target.
-	Every = 150 * time.Millisecond
-	// Quiet is the heartbeat interval of an entry that has nothing new to send.
-	Quiet = time.Second
+	Interval = 150 * time.Millisecond
+	// HeartbeatInterval is the heartbeat interval of an entry that has nothing new to send.
+	HeartbeatInterval = time.Second
 	// staleAfter is the age from which a peer's last message is ignored.
 	staleAfter = 1500 * time.Millisecond
-	// EveryWithHubs is the interval between messages to and from hubs. Load data passes through up
+	// HubInterval is the interval between messages to and from hubs. Load data passes through up
 	// to two hubs and reaches all entries in about half a second.
-	EveryWithHubs = 300 * time.Millisecond
+	HubInterval = 300 * time.Millisecond
 	// catchUpDelay is how long an entry may lag before its peers send it what it lacks, since most
 	// receive a change from the store within milliseconds. Hubs send the replica list without
 	// delay, since their entries do not watch it themselves.
@@ -81,8 +81,8 @@
 	sentSums [roleCount]sentLoads
 }
 
-// Hear applies a message and reports whether it is newer than the last one from its sender.
-func (t *Table) Hear(now time.Time, m Message) bool {
+// Apply applies a message and reports whether it is newer than the last one from its sender.
+func (t *Table) Apply(now time.Time, m Message) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.peers == nil {
@@ -113,16 +113,16 @@
 	if m.Following && !p.following {
 		p.followingSince = now
 	}
-	p.following, p.members, p.quarantineSum = m.Following, m.Members, m.Held
+	p.following, p.members, p.quarantineSum = m.Following, m.Members, m.QuarantineChecksum
 	p.sum, p.dataCenter, p.processorShare = m.Sum, m.DataCenter, float64(m.ProcessorShare)
 	return true
 }
 
-// Others returns the load of all other entries by target; own is the load of this one. Members that
+// PeerLoads returns the load of all other entries by target; own is the load of this one. Members that
 // have not been heard from are assumed to carry the average load of the others and this one: after
 // a simultaneous restart each entry would otherwise take the pool for empty, and all would choose
 // the same targets.
-func (t *Table) Others(now time.Time, members int, own map[pkid.TargetID]pkreplica.Load) map[pkid.TargetID]pkreplica.Load {
+func (t *Table) PeerLoads(now time.Time, members int, own map[pkid.TargetID]pkreplica.Load) map[pkid.TargetID]pkreplica.Load {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	heard := t.addOthers(now)
@@ -160,8 +160,8 @@
 	return float64(max(members-1-heard, 0)) / float64(1+heard)
 }
 
-// Fresh returns the number of entries whose last message is not stale.
-func (t *Table) Fresh(now time.Time) int {
+// LivePeers returns the number of entries whose last message is not stale.
+func (t *Table) LivePeers(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
@@ -173,44 +173,44 @@
 	return n
 }
 
-// Known is this entry's own state, with which that of a peer is compared.
-type Known struct {
+// LocalState is this entry's own state, with which that of a peer is compared.
+type LocalState struct {
 	Self   pkid.EntryID
 	Config pkstore.Revision
 	// Version is the version of the configuration at revision Config.
 	Version pkconfig.Version
 	List    pkstore.Revision
-	// Held is a checksum of the quarantined requests.
-	Held pkquarantine.Sum
+	// QuarantineChecksum is a checksum of the quarantined requests.
+	QuarantineChecksum pkquarantine.Sum
 	// Hub says that this entry is a hub of the peer. It then sends a catch-up whatever other
 	// entries know.
 	Hub bool
 }
 
-// Help says what to send to a lagging peer: the configuration, the records of the replica list
+// CatchUp says what to send to a lagging peer: the configuration, the records of the replica list
 // after revision After, or the quarantined requests.
-type Help struct {
+type CatchUp struct {
 	Config bool
 	List   bool
 	After  pkstore.Revision
-	// Held says that the peer's quarantined requests differ from this entry's.
-	Held bool
+	// Quarantine says that the peer's quarantined requests differ from this entry's.
+	Quarantine bool
 }
 
-// Misses returns what to send to a peer that has lagged behind this entry for some time, and
+// CatchUpFor returns what to send to a peer that has lagged behind this entry for some time, and
 // records it as sent. Only a few entries send the same state to one peer.
-func (t *Table) Misses(now time.Time, to pkid.EntryID, k Known) Help {
+func (t *Table) CatchUpFor(now time.Time, to pkid.EntryID, k LocalState) CatchUp {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.peers[to]
 	if p == nil || now.Sub(p.heardAt) >= staleAfter {
-		return Help{}
+		return CatchUp{}
 	}
 	wait := catchUpDelay
 	if k.Hub {
 		wait = 0
 	}
-	var out Help
+	var out CatchUp
 	if sustained(now, &p.configBehindSince, p.hasOlderConfig(k), catchUpDelay) && now.Sub(p.configSentAt) >= catchUpRetry &&
 		(k.Hub || t.sendsCatchUp(now, to, k.Self, func(p *peer) bool { return !p.hasOlderConfig(k) })) {
 		p.configSentAt = now
@@ -221,7 +221,7 @@
 		p.listSentAt = now
 		out.List, out.After = true, p.list
 	}
-	out.Held = p.quarantineDiffers(now, k.Held)
+	out.Quarantine = p.quarantineDiffers(now, k.QuarantineChecksum)
 	return out
 }
 
@@ -236,9 +236,9 @@
 	return true
 }
 
-// Followed reports whether some live peer has watched the replica list without interruption since
+// FollowedSince reports whether some live peer has watched the replica list without interruption since
 // before since, so that the store has been available to it throughout.
-func (t *Table) Followed(now, since time.Time) bool {
+func (t *Table) FollowedSince(now, since time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, p := range t.peers {
@@ -249,17 +249,17 @@
 	return false
 }
 
-// Led reports whether a hub sends this entry the replica list and the number of members, so that it
+// ServedByHub reports whether a hub sends this entry the replica list and the number of members, so that it
 // need not watch them in the store: each watching entry costs the store one call per change.
-func (t *Table) Led(now time.Time) bool { return t.MembersTold(now) > 0 }
+func (t *Table) ServedByHub(now time.Time) bool { return t.HubMemberCount(now) > 0 }
 
-// MembersTold returns the number of members that hubs report; zero where no hub serves this entry.
-func (t *Table) MembersTold(now time.Time) int {
+// HubMemberCount returns the number of members that hubs report; zero where no hub serves this entry.
+func (t *Table) HubMemberCount(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	most := 0
 	for _, p := range t.peers {
-		if p.sum != nil && p.sum.All && p.following && now.Sub(p.heardAt) < staleAfter {
+		if p.sum != nil && p.sum.Global && p.following && now.Sub(p.heardAt) < staleAfter {
 			most = max(most, p.members)
 		}
 	}
@@ -281,7 +281,7 @@
 // hasOlderConfig reports whether a peer's configuration is older than this entry's. Versions decide
 // where both are known: a store that was restored from an older copy may hold an older version at a
 // later revision until the newest one is written again.
-func (p *peer) hasOlderConfig(k Known) bool {
+func (p *peer) hasOlderConfig(k LocalState) bool {
 	if p.version != 0 && k.Version != 0 && p.version != k.Version {
 		return p.version < k.Version
 	}
--- a/pkshare/table_test.go
+++ b/pkshare/table_test.go
@@ -22,42 +22,42 @@
 func TestLoadsOfSilentMembersAreExtrapolated(t *testing.T) {
 	var table Table
 	own := map[pkid.TargetID]pkreplica.Load{"t": {Requests: 1, Tokens: 100}}
-	assert.Equal(t, table.Others(start, 4, own)["t"], pkreplica.Load{Requests: 3, Tokens: 300})
+	assert.Equal(t, table.PeerLoads(start, 4, own)["t"], pkreplica.Load{Requests: 3, Tokens: 300})
 	assert.Equal(t, table.Flow(start, 4, "a", "b", 10), 30.0)
-	table.Hear(start, newMessage("b", 1, 1, 100))
-	assert.Equal(t, table.Others(start, 2, own)["t"], pkreplica.Load{Requests: 1, Tokens: 100})
-	assert.Equal(t, table.Others(start, 4, own)["t"], pkreplica.Load{Requests: 3, Tokens: 300})
-	assert.Equal(t, table.Others(start, 4, nil)["t"], pkreplica.Load{Requests: 2, Tokens: 200})
-	assert.Equal(t, len(table.Others(start.Add(staleAfter), 2, nil)), 0, "stale loads are ignored")
+	table.Apply(start, newMessage("b", 1, 1, 100))
+	assert.Equal(t, table.PeerLoads(start, 2, own)["t"], pkreplica.Load{Requests: 1, Tokens: 100})
+	assert.Equal(t, table.PeerLoads(start, 4, own)["t"], pkreplica.Load{Requests: 3, Tokens: 300})
+	assert.Equal(t, table.PeerLoads(start, 4, nil)["t"], pkreplica.Load{Requests: 2, Tokens: 200})
+	assert.Equal(t, len(table.PeerLoads(start.Add(staleAfter), 2, nil)), 0, "stale loads are ignored")
 }
 
 // A late message from a replaced connection must not bring back loads that have ended.
 func TestOlderMessageIsIgnored(t *testing.T) {
 	var table Table
-	assert.Assert(t, table.Hear(start, newMessage("b", 2, 1, 10)))
-	assert.Assert(t, !table.Hear(start, newMessage("b", 1, 1, 99)))
-	assert.Equal(t, table.Others(start, 2, nil)["t"].Tokens, 10.0)
+	assert.Assert(t, table.Apply(start, newMessage("b", 2, 1, 10)))
+	assert.Assert(t, !table.Apply(start, newMessage("b", 1, 1, 99)))
+	assert.Equal(t, table.PeerLoads(start, 2, nil)["t"].Tokens, 10.0)
 	restarted := newMessage("b", 1, 1, 5)
 	restarted.Run = 2
-	assert.Assert(t, table.Hear(start, restarted))
-	assert.Equal(t, table.Others(start, 2, nil)["t"].Tokens, 5.0)
+	assert.Assert(t, table.Apply(start, restarted))
+	assert.Equal(t, table.PeerLoads(start, 2, nil)["t"].Tokens, 5.0)
 }
 
 // An entry that the store does not serve could accept a revoked key or use a removed replica. Two
 // others must send it the newer state, once.
 func TestLaggingEntryIsSentCatchUp(t *testing.T) {
 	var table Table
-	table.Hear(start, newMessage("z", 1, 5, 0))
-	table.Hear(start, newMessage("b", 1, 9, 0))
-	table.Hear(start, newMessage("c", 1, 9, 0))
-	known := func(self pkid.EntryID) Known { return Known{Self: self, Config: 9, List: 9} }
-	assert.Equal(t, table.Misses(start, "z", known("a")), Help{}, "the store may still serve it")
+	table.Apply(start, newMessage("z", 1, 5, 0))
+	table.Apply(start, newMessage("b", 1, 9, 0))
+	table.Apply(start, newMessage("c", 1, 9, 0))
+	known := func(self pkid.EntryID) LocalState { return LocalState{Self: self, Config: 9, List: 9} }
+	assert.Equal(t, table.CatchUpFor(start, "z", known("a")), CatchUp{}, "the store may still serve it")
 	later := start.Add(catchUpDelay)
-	assert.Equal(t, table.Misses(later, "z", known("a")), Help{Config: true, List: true, After: 5})
-	assert.Equal(t, table.Misses(later, "z", known("a")), Help{}, "already sent")
+	assert.Equal(t, table.CatchUpFor(later, "z", known("a")), CatchUp{Config: true, List: true, After: 5})
+	assert.Equal(t, table.CatchUpFor(later, "z", known("a")), CatchUp{}, "already sent")
 	table.Reconnected("z")
-	assert.Equal(t, table.Misses(later, "z", known("d")), Help{}, "two others have lower IDs")
-	assert.Equal(t, table.Misses(later, "b", known("a")), Help{})
+	assert.Equal(t, table.CatchUpFor(later, "z", known("d")), CatchUp{}, "two others have lower IDs")
+	assert.Equal(t, table.CatchUpFor(later, "b", known("a")), CatchUp{})
 }
 
 // Only a live peer that has watched the list since before the store was lost shows that the store
@@ -80,8 +80,8 @@
 		var table Table
 		for i, following := range row.following {
 			at := lost.Add(row.first + time.Duration(i)*600*time.Millisecond)
-			table.Hear(at, Message{From: "p", Run: 1, Sequence: uint64(i + 1), Following: following})
+			table.Apply(at, Message{From: "p", Run: 1, Sequence: uint64(i + 1), Following: following})
 		}
-		assert.Equal(t, table.Followed(now, lost), row.followed, row.name)
+		assert.Equal(t, table.FollowedSince(now, lost), row.followed, row.name)
 	}
 }
