--- a/pkclaim/table_test.go
+++ b/pkclaim/table_test.go
@@ -54,7 +54,7 @@
 		claimed := 0
 		for i, members := range [][]pkmember.Member{before, after} {
 			granted := true
-			for _, m := range pkmember.First(members, string(k), 2) {
+			for _, m := range pkmember.TopRanked(members, string(k), 2) {
 				granted = tables[m.Instance].Claim(start, k, pkid.RequestID(fmt.Sprint(i))) && granted
 			}
 			if granted {
--- a/pkentry/admin.go
+++ b/pkentry/admin.go
@@ -115,7 +115,7 @@
 			s.Neighbors = append(s.Neighbors, m.Entry)
 		}
 	}
-	if twins := e.peers.table.Twins(now); len(twins) > 0 {
+	if twins := e.peers.table.MembersSharingID(now); len(twins) > 0 {
 		s.Alarm = fmt.Sprintf("two VMs have the entry id %s; give one another id in its settings", twins[0].Entry)
 	}
 	e.manifest.mu.Lock()
--- a/pkentry/claims.go
+++ b/pkentry/claims.go
@@ -49,7 +49,7 @@
 		return nil, c.invalid(http.StatusBadRequest, "bad_idempotency_key", "the idempotency key is too long")
 	}
 	k := pkclaim.KeyOf(c.account.ID, service, text)
-	replicas := pkmember.First(c.peers.table.Neighbors(time.Now()), string(k), claimReplicas)
+	replicas := pkmember.TopRanked(c.peers.table.Neighbors(time.Now()), string(k), claimReplicas)
 	release := func() {
 		for _, m := range replicas {
 			c.releaseAt(m, k, c.id)
@@ -121,7 +121,7 @@
 		return nil
 	}
 	granted := e.claims.table.Claim(time.Now(), k, claim.Holder)
-	_, err := c.Send(ctx, pkmember.Message{Claimed: &pkmember.Claimed{ID: claim.ID, Granted: granted}})
+	_, err := c.Send(ctx, pkmember.Message{ClaimReply: &pkmember.ClaimReply{ID: claim.ID, Granted: granted}})
 	return err
 }
 
@@ -140,7 +140,7 @@
 	self := e.peers.table.Self()
 	claimsByInstance := map[pkmember.Instance][]pkmember.Claim{}
 	for _, held := range e.claims.table.All(time.Now()) {
-		for _, m := range pkmember.First(members, string(held.Key), claimReplicas) {
+		for _, m := range pkmember.TopRanked(members, string(held.Key), claimReplicas) {
 			if m.Instance != self.Instance {
 				claimsByInstance[m.Instance] = append(claimsByInstance[m.Instance], pkmember.Claim{Key: string(held.Key), Holder: held.Holder})
 			}
@@ -188,7 +188,7 @@
 	delete(c.pending, id)
 }
 
-func (c *claims) resolve(a *pkmember.Claimed) {
+func (c *claims) resolve(a *pkmember.ClaimReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if answer, found := c.pending[a.ID]; found {
--- a/pkentry/inbound.go
+++ b/pkentry/inbound.go
@@ -54,12 +54,12 @@
 		return err
 	}
 	table := e.peers.table
-	table.Learn(time.Now(), append(h.Known, h.From))
+	table.AddKnown(time.Now(), append(h.Known, h.From))
 	// A discovery probe closes after the handshake. The connection is registered with the first
 	// message after it, because registration resets the peer's counts.
 	var connection uint64
-	var names pkmember.Names
-	defer func() { table.Break(h.From.Instance, connection) }()
+	var names pkmember.RefDecoder
+	defer func() { table.Disconnected(h.From.Instance, connection) }()
 	for {
 		wait, cancel := context.WithTimeout(ctx, peerIdleTimeout)
 		m, err := c.Receive(wait)
@@ -70,8 +70,8 @@
 		if connection == 0 {
 			connection = table.Connected(time.Now(), h.From)
 		}
-		if m.Share != nil {
-			if err := names.Resolve(m.Share); err != nil {
+		if m.Update != nil {
+			if err := names.Resolve(m.Update); err != nil {
 				return err
 			}
 		}
@@ -97,16 +97,16 @@
 		if err := e.receiveManifest(m.Manifest, now); err != nil {
 			e.log.Warn("failed to adopt manifest from peer", "peer", from.Entry, "error", err)
 		}
-	case m.Share != nil:
-		e.peers.table.Take(now, from.Instance, m.Share)
-		e.applyReports(m.Share.Reports, now)
-		return e.requestNewerManifest(ctx, c, m.Share)
+	case m.Update != nil:
+		e.peers.table.Apply(now, from.Instance, m.Update)
+		e.applyReports(m.Update.Reports, now)
+		return e.requestNewerManifest(ctx, c, m.Update)
 	}
 	return nil
 }
 
 // requestNewerManifest requests a peer's manifest if it is newer than the one in force.
-func (e *Entry) requestNewerManifest(ctx context.Context, c *pkpeer.Conn[pkmember.Message], s *pkmember.Share) error {
+func (e *Entry) requestNewerManifest(ctx context.Context, c *pkpeer.Conn[pkmember.Message], s *pkmember.Update) error {
 	if s.Revision == 0 {
 		return nil
 	}
@@ -120,7 +120,7 @@
 		if !e.peers.shouldRequest(s.Revision, time.Now()) {
 			return nil
 		}
-		_, err := c.Send(ctx, pkmember.Message{Want: &pkmember.Want{Revision: s.Revision}})
+		_, err := c.Send(ctx, pkmember.Message{ManifestRequest: &pkmember.ManifestRequest{Revision: s.Revision}})
 		return err
 	case pkhead.Conflict:
 		e.setAlarm(fmt.Sprintf("a peer has another manifest as revision %d", rev))
--- a/pkentry/link.go
+++ b/pkentry/link.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, nil, errors.Join(err, c.Close())
 	}
-	e.peers.table.Learn(time.Now(), append(m.Hello.Known, m.Hello.From))
+	e.peers.table.AddKnown(time.Now(), append(m.Hello.Known, m.Hello.From))
 	return c, m.Hello, nil
 }
 
@@ -88,7 +88,7 @@
 		Version: pkmember.Version,
 		Oldest:  pkmember.OldestVersion,
 		From:    e.peers.table.Self(),
-		Known:   e.peers.table.Known(time.Now()),
+		Known:   e.peers.table.LiveMembers(time.Now()),
 	}
 }
 
@@ -97,11 +97,11 @@
 	sent := newSentState()
 	sameNeighborhood := l.to.Neighborhood == e.peers.table.Self().Neighborhood
 	for {
-		size, err := c.Send(ctx, pkmember.Message{Share: e.nextShare(sent, sameNeighborhood), Leaving: e.leaving.Load()})
+		size, err := c.Send(ctx, pkmember.Message{Update: e.nextShare(sent, sameNeighborhood), Leaving: e.leaving.Load()})
 		if err != nil {
 			return err
 		}
-		pace := time.NewTimer(pkmember.Pace(size, e.peers.linkCount()))
+		pace := time.NewTimer(pkmember.UpdateInterval(size, e.peers.linkCount()))
 		select {
 		case <-ctx.Done():
 			pace.Stop()
@@ -141,10 +141,10 @@
 		if err != nil {
 			return
 		}
-		if m.Claimed != nil {
-			e.claims.resolve(m.Claimed)
+		if m.ClaimReply != nil {
+			e.claims.resolve(m.ClaimReply)
 		}
-		if m.Want == nil {
+		if m.ManifestRequest == nil {
 			continue
 		}
 		offer, err := e.manifestMessage()
--- a/pkentry/manifest.go
+++ b/pkentry/manifest.go
@@ -97,7 +97,7 @@
 // it is open, so only a few entries per neighborhood have one.
 func (e *Entry) isWatcher(now time.Time) bool {
 	self := e.peers.table.Self()
-	for _, m := range pkmember.First(e.peers.table.Neighbors(now), pkhead.HeadKey, watchersPerNeighborhood) {
+	for _, m := range pkmember.TopRanked(e.peers.table.Neighbors(now), pkhead.HeadKey, watchersPerNeighborhood) {
 		if m.Instance == self.Instance {
 			return true
 		}
--- a/pkentry/peers.go
+++ b/pkentry/peers.go
@@ -146,8 +146,8 @@
 			before = members
 			e.peers.wg.Go(func() { e.handOverClaims(ctx, members) })
 		}
-		e.peers.table.Tend(now)
-		e.peers.updateLinks(ctx, e, e.peers.table.Links(now))
+		e.peers.table.Prune(now)
+		e.peers.updateLinks(ctx, e, e.peers.table.SendPeers(now))
 		counts := e.peers.table.Counts(now)
 		for _, t := range e.targets.All() {
 			t.SetPeers(counts[t.Info.ID])
@@ -183,7 +183,7 @@
 	round := 0
 	pktimer.Every(ctx, seedInterval, func(ctx context.Context) {
 		known := map[string]bool{}
-		for _, m := range e.peers.table.Known(time.Now()) {
+		for _, m := range e.peers.table.LiveMembers(time.Now()) {
 			known[m.Addr] = true
 		}
 		for _, addr := range e.settings.Peers.Seeds {
--- a/pkentry/register.go
+++ b/pkentry/register.go
@@ -34,7 +34,7 @@
 		e.log.Debug("the entry's key in the store was not renewed", "error", err)
 		return
 	}
-	alone := len(e.peers.table.Known(time.Now())) == 1
+	alone := len(e.peers.table.LiveMembers(time.Now())) == 1
 	if e.registration.peersListed && !alone {
 		return
 	}
@@ -50,7 +50,7 @@
 			known = append(known, m)
 		}
 	}
-	e.peers.table.Learn(time.Now(), known)
+	e.peers.table.AddKnown(time.Now(), known)
 }
 
 func (e *Entry) renewKey(ctx context.Context) error {
--- a/pkentry/share.go
+++ b/pkentry/share.go
@@ -11,7 +11,7 @@
 
 // sentState is the state already sent to a peer on the current connection.
 type sentState struct {
-	refs     pkmember.Refs
+	refs     pkmember.RefEncoder
 	counts   map[pkid.TargetID]int64
 	pools    map[pkid.PoolID]pkmember.PoolCount
 	reports  map[pkid.TargetID]pktarget.Report
@@ -31,12 +31,12 @@
 
 // nextShare returns the changes since the last Share to a peer. Peers outside the neighborhood get
 // only the manifest revision and the known members.
-func (e *Entry) nextShare(t *sentState, sameNeighborhood bool) *pkmember.Share {
-	s := &pkmember.Share{}
+func (e *Entry) nextShare(t *sentState, sameNeighborhood bool) *pkmember.Update {
+	s := &pkmember.Update{}
 	if view := e.view.Load(); view != nil {
 		s.Revision, s.Digest = view.Revision, view.Digest
 	}
-	for _, m := range e.peers.table.Known(time.Now()) {
+	for _, m := range e.peers.table.LiveMembers(time.Now()) {
 		if !t.known[m.Instance] {
 			t.known[m.Instance] = true
 			s.Known = append(s.Known, m)
@@ -51,13 +51,13 @@
 }
 
 // addCounts adds the changed request counts of targets and pools to s.
-func (e *Entry) addCounts(s *pkmember.Share, t *sentState) {
+func (e *Entry) addCounts(s *pkmember.Update, t *sentState) {
 	for _, target := range e.targets.All() {
 		id, n := target.Info.ID, target.Own()
 		if n != t.counts[id] {
 			t.counts[id] = n
-			s.Refs = append(s.Refs, t.refs.Of(id, s))
-			s.Ns = append(s.Ns, n)
+			s.Refs = append(s.Refs, t.refs.Ref(id, s))
+			s.RefCounts = append(s.RefCounts, n)
 		}
 	}
 	e.gates.mu.Lock()
@@ -73,7 +73,7 @@
 }
 
 // addReports adds the changed reports of the targets that this entry polls to s.
-func (e *Entry) addReports(s *pkmember.Share, t *sentState) {
+func (e *Entry) addReports(s *pkmember.Update, t *sentState) {
 	members := e.peers.table.Neighbors(time.Now())
 	for _, target := range e.targets.All() {
 		id := target.Info.ID
@@ -91,7 +91,7 @@
 		}
 		t.reports[id] = r
 		report := pkmember.Report{
-			Ref:       t.refs.Of(id, s),
+			Ref:       t.refs.Ref(id, s),
 			Active:    r.Active,
 			Queued:    r.Queued,
 			MaxBatch:  r.MaxBatch,
--- a/pkmember/member.go
+++ b/pkmember/member.go
@@ -30,9 +30,9 @@
 	return xxhash.Sum64String(string(m.Instance) + "\x00" + key)
 }
 
-// First returns up to n members in the rendezvous order of key. When a member joins or leaves, only
+// TopRanked returns up to n members in the rendezvous order of key. When a member joins or leaves, only
 // the keys that it is responsible for move.
-func First(members []Member, key string, n int) []Member {
+func TopRanked(members []Member, key string, n int) []Member {
 	sorted := slices.Clone(members)
 	slices.SortFunc(sorted, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(b.score(key), a.score(key)), cmp.Compare(a.Instance, b.Instance))
--- a/pkmember/message.go
+++ b/pkmember/message.go
@@ -17,13 +17,13 @@
 
 // Message is a message between two entries; one of its fields is set.
 type Message struct {
-	Hello    *Hello    `cbor:"1,keyasint,omitempty"`
-	Share    *Share    `cbor:"2,keyasint,omitempty"`
-	Want     *Want     `cbor:"3,keyasint,omitempty"`
-	Manifest *Manifest `cbor:"4,keyasint,omitempty"`
-	Leaving  bool      `cbor:"5,keyasint,omitempty"`
-	Claim    *Claim    `cbor:"6,keyasint,omitempty"`
-	Claimed  *Claimed  `cbor:"7,keyasint,omitempty"`
+	Hello           *Hello           `cbor:"1,keyasint,omitempty"`
+	Update          *Update          `cbor:"2,keyasint,omitempty"`
+	ManifestRequest *ManifestRequest `cbor:"3,keyasint,omitempty"`
+	Manifest        *Manifest        `cbor:"4,keyasint,omitempty"`
+	Leaving         bool             `cbor:"5,keyasint,omitempty"`
+	Claim           *Claim           `cbor:"6,keyasint,omitempty"`
+	ClaimReply      *ClaimReply      `cbor:"7,keyasint,omitempty"`
 	// HandOver holds claims that the sender, which is leaving, transfers to the receiver.
 	HandOver []Claim `cbor:"8,keyasint,omitempty"`
 }
@@ -36,8 +36,8 @@
 	Release bool           `cbor:"4,keyasint,omitempty"`
 }
 
-// Claimed is the reply to a claim.
-type Claimed struct {
+// ClaimReply is the reply to a claim.
+type ClaimReply struct {
 	ID      uint64 `cbor:"1,keyasint"`
 	Granted bool   `cbor:"2,keyasint"`
 }
@@ -50,21 +50,21 @@
 	Known   []Member `cbor:"4,keyasint,omitempty"`
 }
 
-// Share is the periodic update that an entry sends to its neighbors. Counts holds only what changed
+// Update is the periodic update that an entry sends to its neighbors. Counts holds only what changed
 // since the previous update on the same connection.
 //
 // Each target is named once on a connection, in Names, and is then referred to by its index in the
 // list of all names so far. Names would otherwise be most of the traffic, whose limit determines
 // how old counts become.
-type Share struct {
-	Names    []pkid.TargetID   `cbor:"7,keyasint,omitempty"`
-	Refs     []int             `cbor:"8,keyasint,omitempty"`
-	Ns       []int64           `cbor:"9,keyasint,omitempty"`
-	Pools    []PoolCount       `cbor:"2,keyasint,omitempty"`
-	Reports  []Report          `cbor:"3,keyasint,omitempty"`
-	Revision pkid.Revision     `cbor:"4,keyasint,omitempty"`
-	Digest   pkmanifest.Digest `cbor:"5,keyasint,omitempty"`
-	Known    []Member          `cbor:"6,keyasint,omitempty"`
+type Update struct {
+	Names     []pkid.TargetID   `cbor:"7,keyasint,omitempty"`
+	Refs      []int             `cbor:"8,keyasint,omitempty"`
+	RefCounts []int64           `cbor:"9,keyasint,omitempty"`
+	Pools     []PoolCount       `cbor:"2,keyasint,omitempty"`
+	Reports   []Report          `cbor:"3,keyasint,omitempty"`
+	Revision  pkid.Revision     `cbor:"4,keyasint,omitempty"`
+	Digest    pkmanifest.Digest `cbor:"5,keyasint,omitempty"`
+	Known     []Member          `cbor:"6,keyasint,omitempty"`
 	// Counts are the resolved counts by target.
 	Counts []Count `cbor:"-"`
 }
@@ -99,8 +99,8 @@
 	Target pkid.TargetID `cbor:"-"`
 }
 
-// Want requests the manifest that the receiver has in force.
-type Want struct {
+// ManifestRequest requests the manifest that the receiver has in force.
+type ManifestRequest struct {
 	Revision pkid.Revision `cbor:"1,keyasint"`
 }
 
@@ -119,10 +119,10 @@
 	sendBudget = 10_000
 )
 
-// Pace returns the interval until the next update, given the size in bytes of the last one and the
+// UpdateInterval returns the interval until the next update, given the size in bytes of the last one and the
 // number of links it was sent on. Traffic stays within the send budget at any number of neighbors:
 // with more of them counts are older, which the targets' own reports compensate for.
-func Pace(size, links int) time.Duration {
+func UpdateInterval(size, links int) time.Duration {
 	d := time.Duration(size) * time.Duration(links) * time.Second / sendBudget
 	return min(max(d, minInterval), maxInterval)
 }
--- a/pkmember/names.go
+++ b/pkmember/names.go
@@ -6,12 +6,12 @@
 	"peridotknot.example/pkid"
 )
 
-// Refs numbers targets on the sending side of one connection; the zero value is for a new
+// RefEncoder numbers targets on the sending side of one connection; the zero value is for a new
 // connection.
-type Refs struct{ refs map[pkid.TargetID]int }
+type RefEncoder struct{ refs map[pkid.TargetID]int }
 
-// Of returns the number of a target, and adds its name to s if the number is new.
-func (r *Refs) Of(id pkid.TargetID, s *Share) int {
+// Ref returns the number of a target, and adds its name to s if the number is new.
+func (r *RefEncoder) Ref(id pkid.TargetID, s *Update) int {
 	if ref, found := r.refs[id]; found {
 		return ref
 	}
@@ -24,9 +24,9 @@
 	return ref
 }
 
-// Names maps numbers to targets on the receiving side of one connection; the zero value is for a
+// RefDecoder maps numbers to targets on the receiving side of one connection; the zero value is for a
 // new connection.
-type Names struct{ list []pkid.TargetID }
+type RefDecoder struct{ list []pkid.TargetID }
 
 // maxNames limits the memory that a peer can make an entry use.
 const maxNames = 1 << 16
@@ -38,12 +38,12 @@
 )
 
 // Resolve sets the targets that the numbers in s refer to.
-func (n *Names) Resolve(s *Share) error {
+func (n *RefDecoder) Resolve(s *Update) error {
 	if len(n.list)+len(s.Names) > maxNames {
 		return errTooManyNames
 	}
 	n.list = append(n.list, s.Names...)
-	if len(s.Refs) != len(s.Ns) {
+	if len(s.Refs) != len(s.RefCounts) {
 		return errCountsMismatch
 	}
 	for i, ref := range s.Refs {
@@ -51,7 +51,7 @@
 		if err != nil {
 			return err
 		}
-		s.Counts = append(s.Counts, Count{Target: id, N: s.Ns[i]})
+		s.Counts = append(s.Counts, Count{Target: id, N: s.RefCounts[i]})
 	}
 	for i := range s.Reports {
 		id, err := n.at(s.Reports[i].Ref)
@@ -63,7 +63,7 @@
 	return nil
 }
 
-func (n *Names) at(ref int) (pkid.TargetID, error) {
+func (n *RefDecoder) at(ref int) (pkid.TargetID, error) {
 	if ref < 0 || ref >= len(n.list) {
 		return "", errUnknownRef
 	}
--- a/pkmember/names_test.go
+++ b/pkmember/names_test.go
@@ -13,15 +13,15 @@
 // on the wrong target.
 func TestNumbersResolveToTheSameTargets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var refs Refs
-		var names Names
+		var refs RefEncoder
+		var names RefDecoder
 		ids := rapid.SliceOfN(rapid.StringMatching("[a-e]"), 0, 8)
 		for range rapid.IntRange(1, 10).Draw(t, "shares") {
-			var s Share
+			var s Update
 			sent := ids.Draw(t, "ids")
 			for i, id := range sent {
-				s.Refs = append(s.Refs, refs.Of(pkid.TargetID(id), &s))
-				s.Ns = append(s.Ns, int64(i))
+				s.Refs = append(s.Refs, refs.Ref(pkid.TargetID(id), &s))
+				s.RefCounts = append(s.RefCounts, int64(i))
 			}
 			if err := names.Resolve(&s); err != nil {
 				t.Fatal(err)
@@ -37,18 +37,18 @@
 
 func TestResolveRejectsInvalidNumbers(t *testing.T) {
 	cases := map[string]struct {
-		share Share
+		share Update
 		want  error
 	}{
-		"unknown number":                        {Share{Refs: []int{0}, Ns: []int64{1}}, errUnknownRef},
-		"negative number":                       {Share{Names: []pkid.TargetID{"a"}, Refs: []int{-1}, Ns: []int64{1}}, errUnknownRef},
-		"unequal numbers of counts and targets": {Share{Ns: []int64{1}}, errCountsMismatch},
-		"unknown number in a report":            {Share{Reports: []Report{{Ref: 3}}}, errUnknownRef},
-		"too many names":                        {Share{Names: make([]pkid.TargetID, maxNames+1)}, errTooManyNames},
+		"unknown number":                        {Update{Refs: []int{0}, RefCounts: []int64{1}}, errUnknownRef},
+		"negative number":                       {Update{Names: []pkid.TargetID{"a"}, Refs: []int{-1}, RefCounts: []int64{1}}, errUnknownRef},
+		"unequal numbers of counts and targets": {Update{RefCounts: []int64{1}}, errCountsMismatch},
+		"unknown number in a report":            {Update{Reports: []Report{{Ref: 3}}}, errUnknownRef},
+		"too many names":                        {Update{Names: make([]pkid.TargetID, maxNames+1)}, errTooManyNames},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			var n Names
+			var n RefDecoder
 			assert.ErrorIs(t, n.Resolve(&c.share), c.want)
 		})
 	}
--- a/pkmember/table.go
+++ b/pkmember/table.go
@@ -50,9 +50,9 @@
 // Self returns this entry's own member.
 func (t *Table) Self() Member { return t.self }
 
-// Learn adds members known from another entry, the store or the settings. They count as alive only
+// AddKnown adds members known from another entry, the store or the settings. They count as alive only
 // once they connect.
-func (t *Table) Learn(now time.Time, known []Member) {
+func (t *Table) AddKnown(now time.Time, known []Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, m := range known {
@@ -92,8 +92,8 @@
 	return state.connection
 }
 
-// Take applies an update from a member.
-func (t *Table) Take(now time.Time, from Instance, s *Share) {
+// Apply applies an update from a member.
+func (t *Table) Apply(now time.Time, from Instance, s *Update) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	state, found := t.members[from]
@@ -116,10 +116,10 @@
 	}
 }
 
-// Break records that a connection from a member has ended and drops the member's counts: if its VM
+// Disconnected records that a connection from a member has ended and drops the member's counts: if its VM
 // failed, the engines drop its requests, and if only the connection did, the next one sends the
 // counts again. It has no effect once a newer connection is open.
-func (t *Table) Break(id Instance, connection uint64) {
+func (t *Table) Disconnected(id Instance, connection uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if state, found := t.members[id]; found && state.connection == connection {
@@ -136,8 +136,8 @@
 	t.tombstones[id] = now
 }
 
-// Tend removes members that have been silent for too long, and expired tombstones.
-func (t *Table) Tend(now time.Time) {
+// Prune removes members that have been silent for too long, and expired tombstones.
+func (t *Table) Prune(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, state := range t.members {
@@ -176,9 +176,9 @@
 	return out
 }
 
-// Known returns all live members, this entry included. A joining entry that receives them can reach
+// LiveMembers returns all live members, this entry included. A joining entry that receives them can reach
 // every member that it needs.
-func (t *Table) Known(now time.Time) []Member {
+func (t *Table) LiveMembers(now time.Time) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := []Member{t.self}
@@ -191,10 +191,10 @@
 	return out
 }
 
-// Links returns the members that this entry sends to: all of its neighborhood and a few of each
+// SendPeers returns the members that this entry sends to: all of its neighborhood and a few of each
 // other one. Silent members are included until they are removed, so that they are found again when
 // a partition ends.
-func (t *Table) Links(_ time.Time) []Member {
+func (t *Table) SendPeers(_ time.Time) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Member
@@ -207,7 +207,7 @@
 		}
 	}
 	for _, members := range remote {
-		out = append(out, First(members, string(t.self.Instance), remoteLinks)...)
+		out = append(out, TopRanked(members, string(t.self.Instance), remoteLinks)...)
 	}
 	sortMembers(out)
 	return out
@@ -244,9 +244,9 @@
 	return inFlight, neighbors
 }
 
-// Twins returns live members whose entry ID another entry has as well, as when two VMs were given
+// MembersSharingID returns live members whose entry ID another entry has as well, as when two VMs were given
 // the same ID. Their counts are kept apart, but an operator must give one of them another ID.
-func (t *Table) Twins(now time.Time) []Member {
+func (t *Table) MembersSharingID(now time.Time) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	instances := map[pkid.EntryID]Instance{t.self.Entry: t.self.Instance}
--- a/pkmember/table_test.go
+++ b/pkmember/table_test.go
@@ -37,11 +37,11 @@
 		"is silent beyond the timeout":        {func(*Table) {}, 20 * time.Second, false, true},
 		"is partitioned for an hour":          {func(*Table) {}, time.Hour, false, true},
 		"is silent for three hours":           {func(*Table) {}, 3 * time.Hour, false, false},
-		"its connection ends":                 {func(t *Table) { t.Break("b", 1) }, time.Second, false, true},
+		"its connection ends":                 {func(t *Table) { t.Disconnected("b", 1) }, time.Second, false, true},
 		"leaves":                              {func(t *Table) { t.Leave(start, "b") }, time.Second, false, false},
-		"is reported by others after it left": {func(t *Table) { t.Leave(start, "b"); t.Learn(start, []Member{neighbor("b")}) }, time.Second, false, false},
-		"its previous connection ends":        {func(t *Table) { t.Connected(start, neighbor("b")); t.Break("b", 1) }, time.Second, true, true},
-		"disconnects and reconnects":          {func(t *Table) { t.Break("b", 1); t.Connected(start, neighbor("b")) }, time.Second, true, true},
+		"is reported by others after it left": {func(t *Table) { t.Leave(start, "b"); t.AddKnown(start, []Member{neighbor("b")}) }, time.Second, false, false},
+		"its previous connection ends":        {func(t *Table) { t.Connected(start, neighbor("b")); t.Disconnected("b", 1) }, time.Second, true, true},
+		"disconnects and reconnects":          {func(t *Table) { t.Disconnected("b", 1); t.Connected(start, neighbor("b")) }, time.Second, true, true},
 		"resumes after a pause of an hour":    {func(t *Table) { t.Connected(start.Add(time.Hour), neighbor("b")) }, time.Hour, true, true},
 	}
 	for name, c := range cases {
@@ -50,20 +50,20 @@
 			table.Connected(start, neighbor("b"))
 			c.event(table)
 			now := start.Add(c.after)
-			table.Tend(now)
+			table.Prune(now)
 			assert.Equal(t, len(table.Neighbors(now)) == 2, c.alive)
-			assert.Equal(t, len(table.Links(now)) == 1, c.linked)
+			assert.Equal(t, len(table.SendPeers(now)) == 1, c.linked)
 		})
 	}
 }
 
 func TestMemberThatNeverConnectedIsNotAlive(t *testing.T) {
 	table := NewTable(neighbor("a"))
-	table.Learn(start, []Member{neighbor("b")})
+	table.AddKnown(start, []Member{neighbor("b")})
 	assert.Equal(t, len(table.Neighbors(start)), 1)
-	assert.Equal(t, len(table.Links(start)), 1)
-	table.Tend(start.Add(time.Minute))
-	assert.Equal(t, len(table.Links(start)), 0)
+	assert.Equal(t, len(table.SendPeers(start)), 1)
+	table.Prune(start.Add(time.Minute))
+	assert.Equal(t, len(table.SendPeers(start)), 0)
 }
 
 // Counts are sent as changes on one connection. Counts left from a broken connection or a failed
@@ -71,16 +71,16 @@
 func TestCountsAreResetByConnections(t *testing.T) {
 	table := NewTable(neighbor("a"))
 	count := func(now time.Time) int64 { return table.Counts(now)["t"] }
-	share := func(n int64) *Share { return &Share{Counts: []Count{{Target: "t", N: n}}} }
+	share := func(n int64) *Update { return &Update{Counts: []Count{{Target: "t", N: n}}} }
 	table.Connected(start, neighbor("b"))
-	table.Take(start, "b", share(7))
+	table.Apply(start, "b", share(7))
 	assert.Equal(t, count(start), int64(7))
 	table.Connected(start, neighbor("b"))
 	assert.Equal(t, count(start), int64(0))
-	table.Take(start, "b", share(3))
+	table.Apply(start, "b", share(3))
 	assert.Equal(t, count(start.Add(time.Hour)), int64(0))
-	table.Break("b", 2)
-	table.Take(start, "b", &Share{})
+	table.Disconnected("b", 2)
+	table.Apply(start, "b", &Update{})
 	assert.Equal(t, count(start), int64(0))
 }
 
@@ -96,7 +96,7 @@
 			table.Connected(start, m)
 		}
 	}
-	assert.Equal(t, len(table.Links(start)), 22+16*remoteLinks)
+	assert.Equal(t, len(table.SendPeers(start)), 22+16*remoteLinks)
 }
 
 // Guards against targets that are polled by all members or by none: members must agree on who is
@@ -117,7 +117,7 @@
 			if before.Instance != members[removed].Instance && before != after {
 				t.Fatalf("%s moved from %s to %s", key, before.Instance, after.Instance)
 			}
-			if First(members, key, 1)[0] != before {
+			if TopRanked(members, key, 1)[0] != before {
 				t.Fatal("the first member is not the owner")
 			}
 		}
@@ -127,8 +127,8 @@
 func TestIntervalKeepsTheSendBudget(t *testing.T) {
 	for _, links := range []int{1, 7, 21, 54} {
 		for _, size := range []int{50, 500, 1500} {
-			perSecond := float64(size*links) / Pace(size, links).Seconds()
-			assert.Assert(t, perSecond <= sendBudget*1.01 || Pace(size, links) == maxInterval, "%d links of %d bytes: %.0f B/s", links, size, perSecond)
+			perSecond := float64(size*links) / UpdateInterval(size, links).Seconds()
+			assert.Assert(t, perSecond <= sendBudget*1.01 || UpdateInterval(size, links) == maxInterval, "%d links of %d bytes: %.0f B/s", links, size, perSecond)
 		}
 	}
 }
--- a/pkpeer/conn_test.go
+++ b/pkpeer/conn_test.go
@@ -25,7 +25,7 @@
 	assert.NilError(t, err)
 	m, err := Decode[pkmember.Message](raw)
 	assert.NilError(t, err)
-	assert.Equal(t, uint64(m.Share.Revision), uint64(9))
+	assert.Equal(t, uint64(m.Update.Revision), uint64(9))
 }
 
 func TestMalformedMessagesAreRejected(t *testing.T) {
@@ -50,7 +50,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	raw, err := Encode(pkmember.Message{Share: &pkmember.Share{Names: []pkid.TargetID{"t"}, Refs: []int{0}, Ns: []int64{3}}})
+	raw, err := Encode(pkmember.Message{Update: &pkmember.Update{Names: []pkid.TargetID{"t"}, Refs: []int{0}, RefCounts: []int64{3}}})
 	if err != nil {
 		f.Fatal(err)
 	}
