--- a/pkedge/gossip.go
+++ b/pkedge/gossip.go
@@ -40,7 +40,7 @@
 // gossip is the exchange of state with the other entries.
 type gossip struct {
 	table    pkshare.Table
-	net      *pkpeer.Net[pkshare.Message]
+	net      *pkpeer.Transport[pkshare.Message]
 	listener net.Listener
 	// addr is the address that this entry receives messages at, empty if it has no peers.
 	addr string
@@ -64,7 +64,7 @@
 }
 
 func (s *gossip) open(listen Listen) error {
-	s.net = pkpeer.NewNet[pkshare.Message](pkpeer.Identity{}, pkconn.DefaultOptions())
+	s.net = pkpeer.NewTransport[pkshare.Message](pkpeer.Identity{}, pkconn.DefaultOptions())
 	s.run = rand.Uint64()
 	s.links = map[string]*link{}
 	s.suspects = map[pkid.TargetID]suspicion{}
--- a/pkentry/peers.go
+++ b/pkentry/peers.go
@@ -28,7 +28,7 @@
 // peers holds the membership table and the connections to other entries.
 type peers struct {
 	table *pkmember.Table
-	net   *pkpeer.Net[pkmember.Message]
+	net   *pkpeer.Transport[pkmember.Message]
 
 	mu    sync.Mutex
 	links map[pkmember.Instance]*link
@@ -92,7 +92,7 @@
 	t := s.Peers.TLS
 	return &peers{
 		table: pkmember.NewTable(self),
-		net:   pkpeer.NewNet[pkmember.Message](pkpeer.Identity{Cert: t.Cert, Key: t.Key, CA: t.CA}, pkconn.DefaultOptions()),
+		net:   pkpeer.NewTransport[pkmember.Message](pkpeer.Identity{Cert: t.Cert, Key: t.Key, CA: t.CA}, pkconn.DefaultOptions()),
 		links: map[pkmember.Instance]*link{},
 	}
 }
--- a/pkpeer/tls.go
+++ b/pkpeer/tls.go
@@ -15,8 +15,8 @@
 	CA   string
 }
 
-// Used reports whether an identity is configured.
-func (i Identity) Used() bool { return i.Cert != "" }
+// Enabled reports whether an identity is configured.
+func (i Identity) Enabled() bool { return i.Cert != "" }
 
 // server returns a configuration that loads the files at each handshake, so that rotated keys take
 // effect without a restart or a file watcher.
--- a/pkpeer/tls_test.go
+++ b/pkpeer/tls_test.go
@@ -65,7 +65,7 @@
 func exchange(t *testing.T, server, client Identity) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	n := NewNet[pkmember.Message](server, pkconn.DefaultOptions())
+	n := NewTransport[pkmember.Message](server, pkconn.DefaultOptions())
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c, err := n.Accept(w, r)
 		if err != nil {
@@ -80,7 +80,7 @@
 	defer func() { _ = srv.Close() }()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	c, err := NewNet[pkmember.Message](client, pkconn.DefaultOptions()).Dial(ctx, l.Addr().String())
+	c, err := NewTransport[pkmember.Message](client, pkconn.DefaultOptions()).Dial(ctx, l.Addr().String())
 	if err != nil {
 		return err
 	}
