--- a/pkedge/daemon.go
+++ b/pkedge/daemon.go
@@ -75,7 +75,7 @@
 	era        eraTracker
 	storeCalls storeCallCounts
 	// pendingOrders are the orders in progress by pool; only reconcilePools uses them.
-	pendingOrders map[pkid.ServiceID]*pkowner.Desk
+	pendingOrders map[pkid.ServiceID]*pkowner.Scheduler
 	// ownerlessSince is since when no owner is known; only reconcilePools uses it.
 	ownerlessSince time.Time
 	// nextAcquire is when this daemon may try again to become the owner; only reconcilePools uses
--- a/pkedge/own.go
+++ b/pkedge/own.go
@@ -127,12 +127,12 @@
 }
 
 // poolOrders returns the orders in progress of a pool.
-func (d *Daemon) poolOrders(s pkid.ServiceID) *pkowner.Desk {
+func (d *Daemon) poolOrders(s pkid.ServiceID) *pkowner.Scheduler {
 	if d.pendingOrders == nil {
-		d.pendingOrders = map[pkid.ServiceID]*pkowner.Desk{}
+		d.pendingOrders = map[pkid.ServiceID]*pkowner.Scheduler{}
 	}
 	if d.pendingOrders[s] == nil {
-		d.pendingOrders[s] = &pkowner.Desk{}
+		d.pendingOrders[s] = &pkowner.Scheduler{}
 	}
 	return d.pendingOrders[s]
 }
@@ -153,7 +153,7 @@
 	}
 	wg.Wait()
 	for i, task := range tasks {
-		orders.Sent(time.Now(), m, task, outcomes[i])
+		orders.RecordOutcome(time.Now(), m, task, outcomes[i])
 	}
 }
 
@@ -178,9 +178,9 @@
 	if !may {
 		return pkowner.Rejected
 	}
-	out, err := d.Engines.Place(ctx, task.Target.Addr, pkowner.Order{Layers: task.Layers, Fence: fence, Orders: report.Orders})
+	out, err := d.Engines.Place(ctx, task.Target.Addr, pkowner.Order{Layers: task.Layers, Fence: fence, ExpectedOrders: report.AcceptedOrders})
 	d.log.Info("engine ordered to hold layers", "target", task.Target.ID, "first", task.Layers.First, "end", task.Layers.End,
-		"held_first", report.Held.First, "held_end", report.Held.End, "orders", report.Orders, "fence", fence,
+		"held_first", report.Held.First, "held_end", report.Held.End, "orders", report.AcceptedOrders, "fence", fence,
 		"outcome", out.String(), "error", err)
 	d.metrics.orders.WithLabelValues(out.String()).Inc()
 	return out
@@ -197,12 +197,12 @@
 	t.Answered(requested)
 	d.updatePace(t, report, requested)
 	later := d.roster.Restarted(t.ID, report.Born)
-	if !later && !report.Empty(t.Held) {
+	if !later && !report.LostLayers(t.Held) {
 		return report, nil
 	}
 	now := time.Now()
 	if !t.IsGone(now) || later {
-		d.log.Info("engine has restarted", "target", t.ID, "born", report.Born, "before", t.Born, "orders", report.Orders,
+		d.log.Info("engine has restarted", "target", t.ID, "born", report.Born, "before", t.Born, "orders", report.AcceptedOrders,
 			"first", t.Held.First, "end", t.Held.End)
 	}
 	d.Conns.CloseIdle(t.Addr)
--- a/pkedge/pace.go
+++ b/pkedge/pace.go
@@ -80,11 +80,11 @@
 // updatePace records the pace in an engine's report, which was requested at the given time, and
 // tells the other entries at once if it has changed.
 func (d *Daemon) updatePace(t *pkreplica.Target, report pkowner.Report, requested time.Time) {
-	factor := pkpace.Factor(report.Pace)
+	factor := pkpace.Factor(report.Factor)
 	if !d.paces.Record(time.Now(), t.ID, report.Born, factor, requested) {
 		return
 	}
-	d.log.Info("engine pace has changed", "target", t.ID, "factor", report.Pace, "source", "report")
+	d.log.Info("engine pace has changed", "target", t.ID, "factor", report.Factor, "source", "report")
 	d.gossip.requestSend()
 }
 
--- a/pkedge/quarantine.go
+++ b/pkedge/quarantine.go
@@ -174,7 +174,7 @@
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	err := d.Engines.Hold(ctx, t.Addr)
+	err := d.Engines.AwaitClose(ctx, t.Addr)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
 		d.suspect(t, time.Now().Add(suspectTTL), err)
--- a/pkedge/quarantine_test.go
+++ b/pkedge/quarantine_test.go
@@ -142,7 +142,7 @@
 	holds int
 }
 
-func (e *refusingEngines) Hold(context.Context, string) error {
+func (e *refusingEngines) AwaitClose(context.Context, string) error {
 	e.holds++
 	if e.alive {
 		return nil
--- a/pkedge/refusal_test.go
+++ b/pkedge/refusal_test.go
@@ -32,7 +32,7 @@
 
 func (e *healthEngines) Report(ctx context.Context, addr string) (pkowner.Report, error) {
 	if addr != e.silent {
-		return pkowner.Report{Orders: 1}, nil
+		return pkowner.Report{AcceptedOrders: 1}, nil
 	}
 	e.reportCalls++
 	<-ctx.Done()
--- a/pkedge/restart_test.go
+++ b/pkedge/restart_test.go
@@ -49,7 +49,7 @@
 	sources := map[string]func(d *Daemon){
 		"list": func(d *Daemon) { d.applyListEntry(now, 2, withBirth(pkreplica.Info{ID: "b", Kind: "l4"}, 200)) },
 		"report": func(d *Daemon) {
-			d.Engines = reportingEngines{report: pkowner.Report{Born: 200, Orders: 1}}
+			d.Engines = reportingEngines{report: pkowner.Report{Born: 200, AcceptedOrders: 1}}
 			_, err := d.readReport(t.Context(), d.target(t, "b"))
 			assert.NilError(t, err)
 		},
@@ -85,13 +85,13 @@
 		listed pkid.Range
 		report pkowner.Report
 	}{
-		{held, pkowner.Report{Held: held, Orders: 1}},
+		{held, pkowner.Report{Held: held, AcceptedOrders: 1}},
 		{held, pkowner.Report{Held: held}},
-		{held, pkowner.Report{Orders: 3}},
+		{held, pkowner.Report{AcceptedOrders: 3}},
 		{held, pkowner.Report{Busy: true}},
 		{pkid.Range{}, pkowner.Report{}},
-		{held, pkowner.Report{Held: held, Orders: 1, Born: 100}},
-		{held, pkowner.Report{Held: held, Orders: 1, Born: 50}},
+		{held, pkowner.Report{Held: held, AcceptedOrders: 1, Born: 100}},
+		{held, pkowner.Report{Held: held, AcceptedOrders: 1, Born: 50}},
 	} {
 		d, _ := poolDaemon(withBirth(engine("b", "x", row.listed.First, row.listed.End), 100))
 		d.Engines = reportingEngines{report: row.report}
--- a/pkedge/watch.go
+++ b/pkedge/watch.go
@@ -78,7 +78,7 @@
 func (d *Daemon) watchEngine(ctx context.Context, t *pkreplica.Target) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		err := d.Engines.Hold(ctx, t.Addr)
+		err := d.Engines.AwaitClose(ctx, t.Addr)
 		now := time.Now()
 		pause := minHoldInterval - now.Sub(began)
 		if ctx.Err() == nil && errors.Is(err, syscall.ECONNREFUSED) {
--- a/pkedge/watch_test.go
+++ b/pkedge/watch_test.go
@@ -20,7 +20,7 @@
 	crashAt     time.Time
 }
 
-func (e crashingEngines) Hold(ctx context.Context, _ string) error {
+func (e crashingEngines) AwaitClose(ctx context.Context, _ string) error {
 	now := time.Now()
 	if !now.Before(e.crashAt) {
 		return fmt.Errorf("hold: %w", syscall.ECONNREFUSED)
--- a/pkowner/engine.go
+++ b/pkowner/engine.go
@@ -9,29 +9,29 @@
 
 // Report is the state that an engine reports, some hundred milliseconds old.
 type Report struct {
-	// Orders is the number of orders accepted since the engine's start.
-	Orders uint64
+	// AcceptedOrders is the number of orders accepted since the engine's start.
+	AcceptedOrders uint64
 	// Busy says that an order is being carried out.
 	Busy bool
 	Held pkid.Range
-	// Pace is the engine's slowdown relative to its kind; over 1 is slower.
-	Pace float64
+	// Factor is the engine's slowdown relative to its kind; over 1 is slower.
+	Factor float64
 	// Requests is the number of running and queued requests.
 	Requests int
-	// Used and Room are the used and total memory for requests, in tokens times layers.
-	Used float64
-	Room float64
+	// KVUsed and Room are the used and total memory for requests, in tokens times layers.
+	KVUsed  float64
+	KVTotal float64
 	// Born distinguishes this start of the engine from others under the same ID.
 	Born pkid.Birth
 	// Stalled are the requests that wait for an engine further along their path.
 	Stalled []Stalled
 }
 
-// Empty reports whether an engine that is listed with layers has lost them in a restart: it reports
+// LostLayers reports whether an engine that is listed with layers has lost them in a restart: it reports
 // no layers and no accepted order. Until the engine reaches the store, the list names its former
 // layers.
-func (r Report) Empty(listed pkid.Range) bool {
-	return listed.Len() > 0 && r.Orders == 0 && r.Held.Len() == 0 && !r.Busy
+func (r Report) LostLayers(listed pkid.Range) bool {
+	return listed.Len() > 0 && r.AcceptedOrders == 0 && r.Held.Len() == 0 && !r.Busy
 }
 
 // Stalled is a request that waits for the engine at an address.
@@ -45,8 +45,8 @@
 	Layers pkid.Range
 	// Fence is the fencing token of the owner's lease.
 	Fence pkid.Fence
-	// Orders is the number of orders that the engine must have accepted before this one.
-	Orders uint64
+	// ExpectedOrders is the number of orders that the engine must have accepted before this one.
+	ExpectedOrders uint64
 }
 
 // Outcome is the result of an order.
@@ -75,9 +75,9 @@
 	Report(ctx context.Context, addr string) (Report, error)
 	// Place orders the engine at addr to hold a range of layers.
 	Place(ctx context.Context, addr string, o Order) (Outcome, error)
-	// Hold keeps a connection to the engine at addr open until the engine closes it, as when its
+	// AwaitClose keeps a connection to the engine at addr open until the engine closes it, as when its
 	// process ends. The error is that of connecting.
-	Hold(ctx context.Context, addr string) error
+	AwaitClose(ctx context.Context, addr string) error
 	// Leaving reports whether the health check of the engine at addr says that it is leaving or
 	// failing. An engine too busy to answer the check is not.
 	Leaving(ctx context.Context, addr, healthPath string) (bool, error)
--- a/pkowner/scheduler.go
+++ b/pkowner/scheduler.go
@@ -41,8 +41,8 @@
 	born pkid.Birth
 }
 
-// Desk schedules the orders of one pool; the zero value has none pending.
-type Desk struct {
+// Scheduler schedules the orders of one pool; the zero value has none pending.
+type Scheduler struct {
 	pending map[pkid.TargetID]pendingOrder
 	retryAt map[pkid.TargetID]time.Time
 	// liveCount is the number of live targets, changedAt is when one last joined, left or restarted.
@@ -58,7 +58,7 @@
 }
 
 // Next returns the engines to send orders to at now, given the live targets of one pool.
-func (d *Desk) Next(now time.Time, m *pklayers.Model, live []*pkreplica.Target) []Task {
+func (d *Scheduler) Next(now time.Time, m *pklayers.Model, live []*pkreplica.Target) []Task {
 	if len(live) != d.liveCount {
 		d.liveCount, d.changedAt = len(live), now
 	}
@@ -88,7 +88,7 @@
 
 // updateArrivals adds new targets and removes those that are gone. For a target that has restarted
 // under its ID it drops the pending order, which was for the earlier start.
-func (d *Desk) updateArrivals(now time.Time, live []*pkreplica.Target) {
+func (d *Scheduler) updateArrivals(now time.Time, live []*pkreplica.Target) {
 	arrivals := make(map[pkid.TargetID]arrival, len(live))
 	for _, t := range live {
 		before, known := d.arrivals[t.ID]
@@ -110,7 +110,7 @@
 
 // layersOf returns the layers that a target holds or is loading. A pending order that does not show
 // in time is dropped: the engine may have restarted, or never received it.
-func (d *Desk) layersOf(now time.Time, t *pkreplica.Target) pkid.Range {
+func (d *Scheduler) layersOf(now time.Time, t *pkreplica.Target) pkid.Range {
 	p, found := d.pending[t.ID]
 	if !found {
 		return t.Held
@@ -122,8 +122,8 @@
 	return p.layers
 }
 
-// Sent records that task was sent at now, and its outcome.
-func (d *Desk) Sent(now time.Time, m *pklayers.Model, task Task, o Outcome) {
+// RecordOutcome records that task was sent at now, and its outcome.
+func (d *Scheduler) RecordOutcome(now time.Time, m *pklayers.Model, task Task, o Outcome) {
 	if d.pending == nil {
 		d.pending = map[pkid.TargetID]pendingOrder{}
 		d.retryAt = map[pkid.TargetID]time.Time{}
--- a/pkowner/scheduler_test.go
+++ b/pkowner/scheduler_test.go
@@ -43,7 +43,7 @@
 func TestColdPoolIsPlannedOnceItHasSettled(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var p pool
-	var d Desk
+	var d Scheduler
 	for i := range 8 {
 		p.set(now, fmt.Sprint(i), pkid.Range{})
 		assert.Equal(t, len(d.Next(now, model(), p.live(now))), 0)
@@ -58,7 +58,7 @@
 func TestPendingOrderIsNotRepeated(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var p pool
-	var d Desk
+	var d Scheduler
 	for i := range 8 {
 		p.set(now, fmt.Sprint(i), pkid.Range{})
 	}
@@ -71,14 +71,14 @@
 		if i == 0 {
 			o = Unknown
 		}
-		d.Sent(now, model(), task, o)
+		d.RecordOutcome(now, model(), task, o)
 	}
 	assert.Equal(t, len(d.Next(now, model(), p.live(now))), 0)
 	now = now.Add(retryDelay)
 	again := d.Next(now, model(), p.live(now))
 	assert.Equal(t, len(again), 1)
 	assert.Equal(t, again[0].Target.ID, tasks[0].Target.ID)
-	d.Sent(now, model(), again[0], Begun)
+	d.RecordOutcome(now, model(), again[0], Begun)
 	for _, task := range tasks {
 		p.set(now, string(task.Target.ID), task.Layers)
 	}
@@ -92,7 +92,7 @@
 func TestReplacementTakesTheLayersOfTheLeavingEngine(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var p pool
-	var d Desk
+	var d Scheduler
 	rows := []pkid.Range{{First: 0, End: 5}, {First: 5, End: 10}, {First: 10, End: 15}, {First: 15, End: 20}}
 	for i, held := range append(rows, rows...) {
 		p.set(now, fmt.Sprint(i), held)
@@ -113,7 +113,7 @@
 func TestAddedEngineIsPlacedAfterReplacementDelay(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var p pool
-	var d Desk
+	var d Scheduler
 	for i := range 8 {
 		first := pkid.Layer(5 * (i % 4))
 		p.set(now, fmt.Sprint(i), pkid.Range{First: first, End: first + 5})
@@ -131,7 +131,7 @@
 func TestRestartedEngineIsOrderedAgain(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var p pool
-	var d Desk
+	var d Scheduler
 	for i := range 8 {
 		first := pkid.Layer(5 * (i % 4))
 		p.set(now, fmt.Sprint(i), pkid.Range{First: first, End: first + 5})
@@ -146,7 +146,7 @@
 	now = now.Add(replacementDelay)
 	tasks := d.Next(now, model(), p.live(now))
 	assert.Equal(t, len(tasks), 1)
-	d.Sent(now, model(), tasks[0], Begun)
+	d.RecordOutcome(now, model(), tasks[0], Begun)
 	assert.Equal(t, len(d.Next(now, model(), p.live(now))), 0)
 	start(2)
 	assert.Equal(t, len(d.Next(now, model(), p.live(now))), 0, "the engine that it replaces may not have left yet")
