--- a/pkentry/owner.go
+++ b/pkentry/owner.go
@@ -129,7 +129,7 @@
 	}
 	o.id = id
 	o.ordered = map[pkid.TargetID]pkid.Range{}
-	o.lease.Began(sent, pkid.Fence(swapped.Item.Revision))
+	o.lease.Granted(sent, pkid.Fence(swapped.Item.Revision))
 	e.log.Info("acquired pool ownership", "pool", pool, "fence", o.lease.Fence())
 }
 
@@ -170,7 +170,7 @@
 func (e *Entry) sendOrders(ctx context.Context, m *pkmanifest.Model, o *ownership) {
 	for _, next := range pkorder.Next(e.poolState(m, o)) {
 		// The process may have been paused since the plan was made.
-		left := o.lease.Left(time.Now())
+		left := o.lease.Remaining(time.Now())
 		if left <= 0 {
 			return
 		}
--- a/pklease/lease.go
+++ b/pklease/lease.go
@@ -25,9 +25,9 @@
 	began time.Time
 }
 
-// Began records that the store granted the lease in reply to a request sent at sent. The fencing
+// Granted records that the store granted the lease in reply to a request sent at sent. The fencing
 // token is the store revision of the owner's key.
-func (l *Lease) Began(sent time.Time, fence pkid.Fence) {
+func (l *Lease) Granted(sent time.Time, fence pkid.Fence) {
 	l.fence = fence
 	l.began = sent
 	l.until = sent.Add(l.Terms.TTL - l.Terms.Margin)
@@ -63,8 +63,8 @@
 	return enforced || now.Sub(l.began) >= l.Terms.Margin
 }
 
-// Left returns the time for which the owner may still act.
-func (l *Lease) Left(now time.Time) time.Duration { return max(l.until.Sub(now), 0) }
+// Remaining returns the time for which the owner may still act.
+func (l *Lease) Remaining(now time.Time) time.Duration { return max(l.until.Sub(now), 0) }
 
 // RenewAt returns when to renew the lease: after a third of it, so that two renewals may fail.
 func (l *Lease) RenewAt() time.Time {
--- a/pklease/lease_test.go
+++ b/pklease/lease_test.go
@@ -19,7 +19,7 @@
 func TestLeaseIsMeasuredFromBeforeTheRequest(t *testing.T) {
 	l := Lease{Terms: terms}
 	assert.Assert(t, !l.MayAct(start))
-	l.Began(start, 7)
+	l.Granted(start, 7)
 	assert.Assert(t, l.MayAct(start.Add(7999*time.Millisecond)))
 	assert.Assert(t, !l.MayAct(start.Add(8*time.Second)))
 	l.Renewed(start.Add(5 * time.Second))
@@ -83,7 +83,7 @@
 	if !w.fromRequest {
 		measuredFrom = start.Add(w.reply)
 	}
-	a.Began(measuredFrom, 1)
+	a.Granted(measuredFrom, 1)
 	var orders []inFlight
 	checked := start.Add(w.reply)
 	if a.MayAct(checked) {
@@ -95,7 +95,7 @@
 	// The store ends A's lease no earlier than its TTL after start.
 	began := start.Add(terms.TTL + w.takeover)
 	b := Lease{Terms: terms}
-	b.Began(began, 2)
+	b.Granted(began, 2)
 	first := began
 	for !b.MayOrder(first, w.fenced || !w.wait) {
 		first = first.Add(100 * time.Millisecond)
