--- a/pkedge/choose.go
+++ b/pkedge/choose.go
@@ -81,7 +81,7 @@
 	if slices.Contains(q.exclude, t.ID) {
 		return false
 	}
-	return !t.Avoided(now) || (q.lastResort && !t.Hopeless(now))
+	return !t.Avoided(now) || (q.lastResort && !t.Excluded(now))
 }
 
 // findPath returns the cheapest path that satisfies a query.
@@ -170,7 +170,7 @@
 		return 0, false
 	}
 	room := m.KVCapacity(t.Kind, held) * float64(held)
-	used := t.Likely(now, entries) + q.tokens*float64(held)
+	used := t.ExpectedMemory(now, entries) + q.tokens*float64(held)
 	fill := used / room
 	if room <= 0 || fill > q.memoryShare {
 		return 0, false
--- a/pkedge/configuration.go
+++ b/pkedge/configuration.go
@@ -31,7 +31,7 @@
 		// is lost.
 		onLost: func() {
 			if d.gossip.table.ServedByHub(time.Now()) {
-				d.roster.StoreAway(time.Now())
+				d.roster.MarkStoreUnavailable(time.Now())
 			}
 		},
 		onBack: d.onStoreBack,
@@ -41,7 +41,7 @@
 // onStoreBack records that the list of replicas is followed again.
 func (d *Daemon) onStoreBack() {
 	now := time.Now()
-	d.roster.StoreBack(now, func(since time.Time) bool { return d.gossip.table.FollowedSince(now, since) })
+	d.roster.MarkStoreAvailable(now, func(since time.Time) bool { return d.gossip.table.FollowedSince(now, since) })
 }
 
 // adopt puts a configuration in force unless a newer one is, and reports whether it did. A
--- a/pkedge/gossip.go
+++ b/pkedge/gossip.go
@@ -111,10 +111,10 @@
 		d.adopt(*m.NewConfig, "peer "+string(m.From))
 	}
 	if m.StoreRecoveredAgoMS > 0 {
-		d.roster.StoreReturned(now.Add(-time.Duration(m.StoreRecoveredAgoMS) * time.Millisecond))
+		d.roster.MarkPeerStoreAvailable(now.Add(-time.Duration(m.StoreRecoveredAgoMS) * time.Millisecond))
 	}
 	if m.RecordsAfter != nil {
-		d.replicasChanged(d.roster.Learn(now, m.NewRecords, *m.RecordsAfter, m.List), m.List, "peer "+string(m.From))
+		d.replicasChanged(d.roster.ApplyDelta(now, m.NewRecords, *m.RecordsAfter, m.List), m.List, "peer "+string(m.From))
 	}
 	for _, one := range m.Suspects {
 		d.receiveSuspicion(now, m.From, one)
@@ -139,11 +139,11 @@
 	all := d.roster.All()
 	own := make(map[pkid.TargetID]pkreplica.Load, len(all))
 	for _, t := range all {
-		own[t.ID] = t.Own()
+		own[t.ID] = t.OwnLoad()
 	}
 	loads := d.gossip.table.PeerLoads(now, d.entryCount(now), own)
 	for _, t := range all {
-		t.SetOthers(loads[t.ID])
+		t.SetPeerLoad(loads[t.ID])
 	}
 }
 
@@ -271,11 +271,11 @@
 	m := pkshare.Message{
 		From: d.settings.Entry, Addr: s.addr, Run: s.run, List: d.roster.At(),
 		DataCenter: d.settings.DataCenter, ProcessorShare: float32(d.settings.ProcessorShare),
-		Following: d.listed.Load() && !d.roster.Away(),
+		Following: d.listed.Load() && !d.roster.StoreUnavailable(),
 		Cases:     d.quarantine.table.News(now), QuarantineChecksum: d.quarantine.table.Sum(now),
 		Paces: d.paces.Observations(now),
 	}
-	if back := now.Sub(d.roster.Returned()); back < storeReturnAnnounceTime {
+	if back := now.Sub(d.roster.StoreRecoveredAt()); back < storeReturnAnnounceTime {
 		m.StoreRecoveredAgoMS = max(back.Milliseconds(), 1)
 	}
 	for _, f := range d.pipes.Flows(now) {
@@ -304,7 +304,7 @@
 	}
 	s.mu.Unlock()
 	for _, t := range d.roster.All() {
-		if own := t.Own(); own.Requests > 0 {
+		if own := t.OwnLoad(); own.Requests > 0 {
 			load := pkshare.Load{Target: t.ID, Requests: own.Requests, Tokens: float32(own.Tokens)}
 			if t.Restarted() {
 				load.Born = t.Born
--- a/pkedge/load_test.go
+++ b/pkedge/load_test.go
@@ -171,13 +171,13 @@
 	sum := map[pkid.TargetID]float64{}
 	for _, d := range daemons {
 		for _, t := range d.roster.All() {
-			sum[t.ID] += t.Own().Tokens
+			sum[t.ID] += t.OwnLoad().Tokens
 		}
 	}
 	fullest := 0.0
 	for _, d := range daemons {
 		for _, t := range d.roster.All() {
-			t.SetOthers(pkreplica.Load{Tokens: sum[t.ID] - t.Own().Tokens})
+			t.SetPeerLoad(pkreplica.Load{Tokens: sum[t.ID] - t.OwnLoad().Tokens})
 			fullest = max(fullest, sum[t.ID]/(m.KVCapacity(t.Kind, t.Held.Len())*float64(t.Held.Len())))
 		}
 	}
--- a/pkedge/own.go
+++ b/pkedge/own.go
@@ -194,7 +194,7 @@
 	if err != nil {
 		return report, err
 	}
-	t.Answered(requested)
+	t.ProbeAnswered(requested)
 	d.updatePace(t, report, requested)
 	later := d.roster.Restarted(t.ID, report.Born)
 	if !later && !report.LostLayers(t.Held) {
--- a/pkedge/plain.go
+++ b/pkedge/plain.go
@@ -164,7 +164,7 @@
 	defer t.Done(0)
 	a, err := c.Sender.Do(ctx, t.Addr, &c.req, pkforward.Send{Left: left, Target: t.ID, Account: c.account})
 	if a != nil && a.Load >= 0 {
-		t.Reported(time.Now(), a.Load)
+		t.RecordReport(time.Now(), a.Load)
 	}
 	if err != nil {
 		c.recordTargetFailure(t, began, a, err)
@@ -173,21 +173,21 @@
 	defer a.Close()
 	body, err := a.ReadWhole(maxBufferedAnswer)
 	if err != nil {
-		t.Failed(time.Now())
+		t.RecordFailure(time.Now())
 		return nil, nil, err
 	}
 	took := time.Since(began)
 	switch {
 	case a.Status >= http.StatusInternalServerError:
 		// It may have run. A target that fails quickly must not look like a fast one.
-		t.Slow(took * 2)
+		t.RecordSlow(took * 2)
 		return a, body, &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: errTargetFailure}
 	case a.Status/100 == 2 && !a.Sealed, a.Header.Get("Content-Encoding") != "":
 		// Something between the target and the router altered the answer.
-		t.Failed(time.Now())
+		t.RecordFailure(time.Now())
 		return nil, nil, &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: errAlteredAnswer}
 	}
-	t.Succeeded(took)
+	t.RecordSuccess(took)
 	return a, body, nil
 }
 
@@ -205,9 +205,9 @@
 		t.Avoid(now.Add(misdirectedTTL))
 	case a != nil:
 		// The target is full.
-		t.Slow(now.Sub(began) * 2)
+		t.RecordSlow(now.Sub(began) * 2)
 	case errors.Is(err, context.DeadlineExceeded):
-		t.Slow(now.Sub(began))
+		t.RecordSlow(now.Sub(began))
 	default:
 		until := c.avoidFailed(now, t, err)
 		c.log.Info("target avoided after a failed send", "target", t.ID, "request_id", c.req.Ask.ID, "for_ms", until.Sub(now).Milliseconds(), "error", err)
@@ -217,7 +217,7 @@
 // avoidFailed avoids a target after a failure and returns until when. A target that refuses
 // connections has no process and is reported to the other entries.
 func (d *Daemon) avoidFailed(now time.Time, t *pkreplica.Target, err error) time.Time {
-	until := t.Failed(now)
+	until := t.RecordFailure(now)
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		return until
 	}
--- a/pkedge/quarantine.go
+++ b/pkedge/quarantine.go
@@ -156,7 +156,7 @@
 			d.recordCrash(now, send)
 		default:
 			pending = append(pending, send)
-			if send.direct && age >= probeDelay && send.target.Ask(now, livenessInterval) {
+			if send.direct && age >= probeDelay && send.target.AllowProbe(now, livenessInterval) {
 				probes = append(probes, send.target)
 			}
 		}
--- a/pkedge/refusal.go
+++ b/pkedge/refusal.go
@@ -33,7 +33,7 @@
 // and the entries spend their retry budgets on finding it again after each backoff.
 func (d *Daemon) queueRefusedEngine(now time.Time, a *attempt, t *pkreplica.Target, answer *pkforward.Answer) {
 	refused := answer != nil && answer.Status == http.StatusServiceUnavailable
-	if !refused || t == a.currentPath().first() || t.Hopeless(now) || !t.Ask(now, livenessInterval) {
+	if !refused || t == a.currentPath().first() || t.Excluded(now) || !t.AllowProbe(now, livenessInterval) {
 		return
 	}
 	select {
@@ -59,7 +59,7 @@
 // checkRefusedEngine checks the liveness of an engine, and while the store is unavailable also
 // whether a live one is draining.
 func (d *Daemon) checkRefusedEngine(ctx context.Context, refused refusedEngine) {
-	if d.checkLiveness(ctx, refused.target) || !d.roster.Away() {
+	if d.checkLiveness(ctx, refused.target) || !d.roster.StoreUnavailable() {
 		return
 	}
 	d.checkDraining(ctx, refused)
--- a/pkedge/refusal_test.go
+++ b/pkedge/refusal_test.go
@@ -101,7 +101,7 @@
 			d, s := poolDaemon(engine("a", "x", 0, 40), engine("b", "x", 40, 80), engine("c", "x", 40, 80))
 			d.Engines = &row.engines
 			if row.outage {
-				d.roster.StoreAway(time.Now())
+				d.roster.MarkStoreUnavailable(time.Now())
 			}
 			d.refusedEngines = make(chan refusedEngine, maxRefusedEngines)
 			a := attemptOver(t, d, s, "a", "b")
@@ -112,7 +112,7 @@
 				d.checkRefusedEngine(t.Context(), <-d.refusedEngines)
 			}
 			assert.Equal(t, row.engines.healthCalls, row.healthCalls)
-			assert.Equal(t, d.target(t, "b").Hopeless(time.Now()), row.suspected)
+			assert.Equal(t, d.target(t, "b").Excluded(time.Now()), row.suspected)
 			assert.Equal(t, len(d.message(time.Now()).Suspects) == 1, row.suspected)
 			if row.healthCalls == 0 || !row.suspected {
 				return
@@ -120,9 +120,9 @@
 			assert.Assert(t, d.target(t, "b").Avoided(time.Now().Add(longest)))
 			other, _ := poolDaemon(engine("a", "x", 0, 40), engine("b", "x", 40, 80))
 			other.receiveSuspicion(time.Now(), "one", d.message(time.Now()).Suspects[0])
-			assert.Assert(t, other.target(t, "b").Hopeless(time.Now()))
+			assert.Assert(t, other.target(t, "b").Excluded(time.Now()))
 			d.applyListEntry(time.Now(), 2, engine("b", "x", 40, 60))
-			assert.Assert(t, !d.target(t, "b").Hopeless(time.Now()), "its list entry has changed")
+			assert.Assert(t, !d.target(t, "b").Excluded(time.Now()), "its list entry has changed")
 		})
 	}
 }
--- a/pkedge/replicas.go
+++ b/pkedge/replicas.go
@@ -27,7 +27,7 @@
 			d.replicasChanged(d.roster.Apply(time.Now(), d.records(events), at), at, "watch")
 		},
 		relayed: func(now time.Time) bool { return d.listed.Load() && d.gossip.table.ServedByHub(now) },
-		onLost:  func() { d.roster.StoreAway(time.Now()) },
+		onLost:  func() { d.roster.MarkStoreUnavailable(time.Now()) },
 		onBack:  d.onStoreBack,
 	})
 }
@@ -60,7 +60,7 @@
 	for _, one := range changed {
 		d.logReplica(one, at, source)
 	}
-	for _, addr := range d.roster.Ended() {
+	for _, addr := range d.roster.TakeEndedAddrs() {
 		d.Conns.CloseIdle(addr)
 	}
 	d.streams.wakeUp()
--- a/pkedge/reroute_test.go
+++ b/pkedge/reroute_test.go
@@ -169,7 +169,7 @@
 			a.cancel = func(err error) { moved = err }
 			for _, id := range c.dead {
 				one, _ := d.roster.Target(id)
-				one.Dead(time.Now().Add(suspectTTL))
+				one.MarkDead(time.Now().Add(suspectTTL))
 			}
 			second, _ := d.roster.Target("second")
 			d.reroute(t.Context(), a, second, reasonDead)
@@ -218,7 +218,7 @@
 	a.reroutes = maxReroutes
 	second, _ := d.roster.Target("second")
 	now := time.Now()
-	second.Gone(now.Add(suspectTTL))
+	second.MarkGone(now.Add(suspectTTL))
 	_, reason := a.needsReroute(now)
 	assert.Equal(t, reason, "", "keeps its path without a retry")
 
--- a/pkedge/suspect.go
+++ b/pkedge/suspect.go
@@ -61,13 +61,13 @@
 	}
 	evidence := pkstall.Evidence{TieBreak: rand.Uint64(), Answered: func(id pkid.TargetID) time.Time {
 		if t, found := d.roster.Target(id); found {
-			return t.AnsweredAt()
+			return t.LastAnsweredProbe()
 		}
 		return time.Time{}
 	}}
 	for _, id := range pkstall.ProbeTargets(now, flows, evidence) {
 		t, found := d.roster.Target(id)
-		if !found || t.Avoided(now) || !t.Ask(now, livenessInterval) {
+		if !found || t.Avoided(now) || !t.AllowProbe(now, livenessInterval) {
 			continue
 		}
 		d.streams.wg.Go(func() { d.checkLiveness(ctx, t) })
@@ -138,12 +138,12 @@
 func (d *Daemon) applySuspicion(t *pkreplica.Target, s suspicion) {
 	switch s.fault {
 	case faultGone:
-		t.Gone(s.until)
+		t.MarkGone(s.until)
 		d.streams.wakeUp()
 	case faultMisplaced:
-		t.Misplaced(s.until)
+		t.MarkStaleRecord(s.until)
 	case faultSilent:
-		t.Dead(s.until)
+		t.MarkDead(s.until)
 	}
 }
 
--- a/pkreplica/deletion.go
+++ b/pkreplica/deletion.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// StoreAway records at now that the list cannot be followed at present.
-func (r *Roster) StoreAway(now time.Time) {
+// MarkStoreUnavailable records at now that the list cannot be followed at present.
+func (r *Roster) MarkStoreUnavailable(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.unavailable {
@@ -57,11 +57,11 @@
 	}
 }
 
-// StoreBack records at now that the list is followed again. followed reports whether any peer
+// MarkStoreAvailable records at now that the list is followed again. followed reports whether any peer
 // followed the list without a gap since the given time. If one did, only this entry had lost the
 // store, so records missing from its list count as deleted at once; granting them the grace period
 // of an outage would keep sending requests to removed replicas.
-func (r *Roster) StoreBack(now time.Time, followed func(since time.Time) bool) {
+func (r *Roster) MarkStoreAvailable(now time.Time, followed func(since time.Time) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.unavailable {
@@ -73,11 +73,11 @@
 	}
 }
 
-// StoreReturned records that the store returned to a peer at the given time. It only matters if
+// MarkPeerStoreAvailable records that the store returned to a peer at the given time. It only matters if
 // this entry has lost the store as well: the peer then reports records deleted during the outage
 // first, and they get the grace period. Otherwise only the peer had lost the store, and deleted
 // records count at once.
-func (r *Roster) StoreReturned(at time.Time) {
+func (r *Roster) MarkPeerStoreAvailable(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.unavailable && at.After(r.returnedAt) {
@@ -85,15 +85,15 @@
 	}
 }
 
-// Returned returns when the store last returned; zero if it was never unavailable.
-func (r *Roster) Returned() time.Time {
+// StoreRecoveredAt returns when the store last returned; zero if it was never unavailable.
+func (r *Roster) StoreRecoveredAt() time.Time {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.returnedAt
 }
 
-// Away reports whether the list cannot be followed at present.
-func (r *Roster) Away() bool {
+// StoreUnavailable reports whether the list cannot be followed at present.
+func (r *Roster) StoreUnavailable() bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.unavailable
--- a/pkreplica/roster.go
+++ b/pkreplica/roster.go
@@ -68,9 +68,9 @@
 	return changed
 }
 
-// Learn applies the records of a peer's list between two revisions and returns those that changed
+// ApplyDelta applies the records of a peer's list between two revisions and returns those that changed
 // something. The list counts as known up to at only if it was known up to after.
-func (r *Roster) Learn(now time.Time, records []Record, after, at pkstore.Revision) []Record {
+func (r *Roster) ApplyDelta(now time.Time, records []Record, after, at pkstore.Revision) []Record {
 	if r.At() < after {
 		at = 0
 	}
--- a/pkreplica/roster_test.go
+++ b/pkreplica/roster_test.go
@@ -29,9 +29,9 @@
 func TestRecordsDeletedByStoreOutageGetGracePeriod(t *testing.T) {
 	var r Roster
 	r.Apply(start, []Record{record(1, "a"), record(2, "b")}, 2)
-	r.StoreAway(start)
+	r.MarkStoreUnavailable(start)
 	back := start.Add(10 * time.Second)
-	r.StoreBack(back, noPeerFollowed)
+	r.MarkStoreAvailable(back, noPeerFollowed)
 	r.Replace(back, nil, 9)
 	assert.Equal(t, liveCount(&r, back), 2)
 	a, _ := r.Target("a")
@@ -62,9 +62,9 @@
 	leaving.Info.Leaving = true
 	r.Apply(start, []Record{leaving}, 2)
 	after, _ := r.Target("a")
-	assert.Equal(t, after.Own().Requests, 1)
+	assert.Equal(t, after.OwnLoad().Requests, 1)
 	before.Done(10)
-	assert.Equal(t, after.Own().Requests, 0)
+	assert.Equal(t, after.OwnLoad().Requests, 0)
 	assert.Equal(t, liveCount(&r, start), 0)
 	assert.Equal(t, r.LeavingFor(start.Add(time.Second), after), time.Second)
 }
@@ -118,14 +118,14 @@
 	a, _ := r.Target("a")
 	b, _ := r.Target("b")
 	c, _ := r.Target("c")
-	a.Succeeded(50 * time.Millisecond)
-	b.Succeeded(10 * time.Millisecond)
-	c.Succeeded(10 * time.Millisecond)
+	a.RecordSuccess(50 * time.Millisecond)
+	b.RecordSuccess(10 * time.Millisecond)
+	c.RecordSuccess(10 * time.Millisecond)
 	c.Begin(start, 0, 0, 0)
 	got, found := r.Choose(start, "s", nil)
 	assert.Assert(t, found)
 	assert.Equal(t, got.ID, pkid.TargetID("b"))
-	b.Failed(start)
+	b.RecordFailure(start)
 	got, _ = r.Choose(start, "s", nil)
 	assert.Equal(t, got.ID, pkid.TargetID("c"))
 	got, _ = r.Choose(start, "s", []pkid.TargetID{"a", "c"})
@@ -140,12 +140,12 @@
 		var r Roster
 		r.Apply(start, []Record{{Revision: 1, Info: Info{ID: "i", Service: "s"}}}, 1)
 		if unavailable {
-			r.StoreAway(start)
+			r.MarkStoreUnavailable(start)
 		}
 		back := start.Add(time.Minute)
-		r.StoreReturned(back)
+		r.MarkPeerStoreAvailable(back)
 		now := back.Add(100 * time.Millisecond)
-		r.Learn(now, []Record{{Revision: 2, Info: Info{ID: "i"}, Deleted: true}}, 1, 2)
+		r.ApplyDelta(now, []Record{{Revision: 2, Info: Info{ID: "i"}, Deleted: true}}, 1, 2)
 		assert.Equal(t, len(r.Live(now, "s")) == 1, unavailable)
 		assert.Equal(t, len(r.Live(now.Add(deletionGrace), "s")), 0)
 		assert.Equal(t, r.At(), pkstore.Revision(2))
@@ -162,13 +162,13 @@
 		var r Roster
 		r.Apply(start, []Record{record(1, "a"), record(2, "b")}, 2)
 		lost, back := start.Add(time.Second), start.Add(4*time.Second)
-		r.StoreAway(lost)
-		r.StoreAway(lost.Add(time.Second)) // noticed again by another goroutine
-		r.StoreBack(back, func(since time.Time) bool { return alone && since.Equal(lost) })
+		r.MarkStoreUnavailable(lost)
+		r.MarkStoreUnavailable(lost.Add(time.Second)) // noticed again by another goroutine
+		r.MarkStoreAvailable(back, func(since time.Time) bool { return alone && since.Equal(lost) })
 		r.Replace(back.Add(10*time.Millisecond), []Record{record(2, "b")}, 9)
 		now := back.Add(20 * time.Millisecond)
 		assert.Equal(t, liveCount(&r, now) == 1, alone)
 		assert.Equal(t, liveCount(&r, now.Add(deletionGrace)), 1)
-		assert.Equal(t, r.Returned().IsZero(), alone, "only an outage of the store itself is reported to peers")
+		assert.Equal(t, r.StoreRecoveredAt().IsZero(), alone, "only an outage of the store itself is reported to peers")
 	}
 }
--- a/pkreplica/start.go
+++ b/pkreplica/start.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// Ended returns the addresses of processes that have ended since the last call.
-func (r *Roster) Ended() []string {
+// TakeEndedAddrs returns the addresses of processes that have ended since the last call.
+func (r *Roster) TakeEndedAddrs() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := r.ended
--- a/pkreplica/start_test.go
+++ b/pkreplica/start_test.go
@@ -32,7 +32,7 @@
 	r.Apply(start, []Record{old}, 1)
 	before, _ := r.Target("a")
 	before.Begin(start, 10, 0, time.Second)
-	before.Gone(start.Add(time.Hour))
+	before.MarkGone(start.Add(time.Hour))
 	assert.Equal(t, liveCount(&r, start), 0)
 
 	r.Apply(start, []Record{bornAt(2, "a", 200)}, 2)
@@ -40,12 +40,12 @@
 	assert.Equal(t, liveCount(&r, start), 1)
 	assert.Assert(t, before.IsGone(start.Add(2*time.Hour)), "the previous process has ended")
 	assert.Assert(t, !now.IsGone(start) && !now.Avoided(start) && now.Restarted())
-	assert.Equal(t, now.Own(), Load{})
+	assert.Equal(t, now.OwnLoad(), Load{})
 	assert.Equal(t, r.LeavingFor(start.Add(time.Second), now), time.Duration(0))
 	before.Done(10)
-	assert.Equal(t, now.Own(), Load{}, "ending a request of the previous start does not change the load of the new one")
-	assert.DeepEqual(t, r.Ended(), []string{"a"})
-	assert.Equal(t, len(r.Ended()), 0)
+	assert.Equal(t, now.OwnLoad(), Load{}, "ending a request of the previous start does not change the load of the new one")
+	assert.DeepEqual(t, r.TakeEndedAddrs(), []string{"a"})
+	assert.Equal(t, len(r.TakeEndedAddrs()), 0)
 }
 
 // A late write of the old process arrives after the new one has registered. Guards against sending
@@ -152,7 +152,7 @@
 	rec.Info.Held = pkid.Range{End: 9}
 	r.Apply(start, []Record{rec}, 1)
 	target, _ := r.Target("a")
-	target.Misplaced(start.Add(time.Hour))
+	target.MarkStaleRecord(start.Add(time.Hour))
 	rec.Revision, rec.Info.Slots = 2, 9
 	r.Apply(start, []Record{rec}, 2)
 	target, _ = r.Target("a")
@@ -168,8 +168,8 @@
 func TestInvalidRecordGetsNoGracePeriod(t *testing.T) {
 	var r Roster
 	r.Apply(start, []Record{record(1, "a")}, 1)
-	r.StoreAway(start)
-	r.StoreBack(start, noPeerFollowed)
+	r.MarkStoreUnavailable(start)
+	r.MarkStoreAvailable(start, noPeerFollowed)
 	bad := deletedRecord(2, "a")
 	bad.Unusable = "state"
 	assert.Equal(t, len(r.Apply(start, []Record{bad}, 2)), 1)
--- a/pkreplica/target.go
+++ b/pkreplica/target.go
@@ -104,10 +104,10 @@
 	return max(t.prefillUntil.Sub(now), 0) * time.Duration(entries)
 }
 
-// Likely estimates the memory that requests of all entries will hold, in tokens times layers. It
+// ExpectedMemory estimates the memory that requests of all entries will hold, in tokens times layers. It
 // assumes that each other entry has begun as much as this one since their last exchange: when an
 // engine fails, all entries fail over at the same moment and could overload a single target.
-func (t *Target) Likely(now time.Time, entries int) float64 {
+func (t *Target) ExpectedMemory(now time.Time, entries int) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.tokens + t.others.Tokens + t.decayedRecent(now)*float64(entries-1)
@@ -121,30 +121,30 @@
 	t.tokens -= tokens
 }
 
-// Own returns the load of this entry's requests.
-func (t *Target) Own() Load {
+// OwnLoad returns the load of this entry's requests.
+func (t *Target) OwnLoad() Load {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return Load{Requests: t.inFlight, Tokens: t.tokens}
 }
 
-// SetOthers sets the load of all other entries.
-func (t *Target) SetOthers(l Load) {
+// SetPeerLoad sets the load of all other entries.
+func (t *Target) SetPeerLoad(l Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.others = l
 }
 
-// Reported records the number of requests that the target itself reported at now.
-func (t *Target) Reported(now time.Time, requests int) {
+// RecordReport records the number of requests that the target itself reported at now.
+func (t *Target) RecordReport(now time.Time, requests int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.reported = float64(max(requests-t.inFlight, 0))
 	t.reportedAt = now
 }
 
-// Succeeded records a successful call and its latency.
-func (t *Target) Succeeded(took time.Duration) {
+// RecordSuccess records a successful call and its latency.
+func (t *Target) RecordSuccess(took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.failures = 0
@@ -155,8 +155,8 @@
 	t.latency += time.Duration(latencyWeight * float64(took-t.latency))
 }
 
-// Slow records a call that has had no answer for at least took.
-func (t *Target) Slow(took time.Duration) {
+// RecordSlow records a call that has had no answer for at least took.
+func (t *Target) RecordSlow(took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if took > t.latency {
@@ -164,8 +164,8 @@
 	}
 }
 
-// Failed records a failure and returns until when the target is avoided.
-func (t *Target) Failed(now time.Time) time.Time {
+// RecordFailure records a failure and returns until when the target is avoided.
+func (t *Target) RecordFailure(now time.Time) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	backoff := min(initialBackoff<<min(t.failures, 8), maxBackoff)
@@ -185,17 +185,17 @@
 	}
 }
 
-// Misplaced avoids the target until a time, or until its record lists other layers, because it does
+// MarkStaleRecord avoids the target until a time, or until its record lists other layers, because it does
 // not hold the layers that its record lists.
-func (t *Target) Misplaced(until time.Time) {
+func (t *Target) MarkStaleRecord(until time.Time) {
 	t.Avoid(until)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.staleLayers = true
 }
 
-// Ask reports whether the target may be probed for liveness at now, at most once per pause.
-func (t *Target) Ask(now time.Time, interval time.Duration) bool {
+// AllowProbe reports whether the target may be probed for liveness at now, at most once per pause.
+func (t *Target) AllowProbe(now time.Time, interval time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if now.Sub(t.probedAt) < interval {
@@ -205,8 +205,8 @@
 	return true
 }
 
-// Answered records that the target answered a probe sent at asked.
-func (t *Target) Answered(asked time.Time) {
+// ProbeAnswered records that the target answered a probe sent at asked.
+func (t *Target) ProbeAnswered(asked time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if asked.After(t.answeredProbeAt) {
@@ -214,15 +214,15 @@
 	}
 }
 
-// AnsweredAt returns when the last answered probe was sent.
-func (t *Target) AnsweredAt() time.Time {
+// LastAnsweredProbe returns when the last answered probe was sent.
+func (t *Target) LastAnsweredProbe() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.answeredProbeAt
 }
 
-// Dead avoids the target until a time because it failed a liveness probe.
-func (t *Target) Dead(until time.Time) {
+// MarkDead avoids the target until a time because it failed a liveness probe.
+func (t *Target) MarkDead(until time.Time) {
 	t.Avoid(until)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -231,9 +231,9 @@
 	}
 }
 
-// Gone avoids the target until a time because its process has ended.
-func (t *Target) Gone(until time.Time) {
-	t.Dead(until)
+// MarkGone avoids the target until a time because its process has ended.
+func (t *Target) MarkGone(until time.Time) {
+	t.MarkDead(until)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if until.After(t.goneUntil) {
@@ -262,9 +262,9 @@
 	return now.Before(t.avoidUntil)
 }
 
-// Hopeless reports whether the target is avoided at now for more than a transient failure: it is
+// Excluded reports whether the target is avoided at now for more than a transient failure: it is
 // dead, or does not hold the layers that its record lists.
-func (t *Target) Hopeless(now time.Time) bool {
+func (t *Target) Excluded(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.ended || t.displaced || now.Before(t.deadUntil) || (t.staleLayers && now.Before(t.avoidUntil))
