--- a/pkanswer/run.go
+++ b/pkanswer/run.go
@@ -122,7 +122,7 @@
 	ctx, cancel := context.WithTimeout(ctx, crashProbeTimeout)
 	defer cancel()
 	if _, err := a.Engine.Load(ctx, first.Info.Addr); errors.Is(err, syscall.ECONNREFUSED) {
-		a.Quarantine.Crashed(time.Now(), a.req.Digest, pkquarantine.StartOf(first.Info.ID, 0))
+		a.Quarantine.RecordCrash(time.Now(), a.req.Digest, pkquarantine.StartIDOf(first.Info.ID, 0))
 	}
 }
 
@@ -130,7 +130,7 @@
 func (r *Runner) Run(ctx context.Context, req Request, sink Sink, budget Budget, watcher Watcher) (Finish, error) {
 	a := &run{Runner: r, req: req, sink: sink, budget: budget, watcher: watcher, verdict: pkverdict.NotRun}
 	for {
-		if r.Quarantine.Left(time.Now(), req.Digest) > 0 {
+		if r.Quarantine.Remaining(time.Now(), req.Digest) > 0 {
 			return a.finish(""), a.failure(pkverdict.ReasonQuarantined, errQuarantined)
 		}
 		chain, err := a.chooseChain(ctx)
@@ -139,7 +139,7 @@
 		}
 		reason, err := a.attempt(ctx, chain)
 		if err == nil {
-			r.Quarantine.Ran(time.Now(), req.Digest)
+			r.Quarantine.RecordSuccess(time.Now(), req.Digest)
 			return a.finish(reason), nil
 		}
 		if errors.Is(err, errCallerGone) || ctx.Err() != nil {
--- a/pkedge/gossip.go
+++ b/pkedge/gossip.go
@@ -221,7 +221,7 @@
 		m.NewRecords, m.RecordsAfter = d.roster.Since(misses.After), &misses.After
 	}
 	if misses.Quarantine {
-		m.Cases = append(d.quarantine.table.Held(now), m.Cases...)
+		m.Cases = append(d.quarantine.table.IsQuarantined(now), m.Cases...)
 	}
 	return misses.Config || misses.List || misses.Quarantine
 }
@@ -272,7 +272,7 @@
 		From: d.settings.Entry, Addr: s.addr, Run: s.run, List: d.roster.At(),
 		DataCenter: d.settings.DataCenter, ProcessorShare: float32(d.settings.ProcessorShare),
 		Following: d.listed.Load() && !d.roster.StoreUnavailable(),
-		Cases:     d.quarantine.table.News(now), QuarantineChecksum: d.quarantine.table.Sum(now),
+		Cases:     d.quarantine.table.RecentChanges(now), QuarantineChecksum: d.quarantine.table.Checksum(now),
 		Paces: d.paces.Observations(now),
 	}
 	if back := now.Sub(d.roster.StoreRecoveredAt()); back < storeReturnAnnounceTime {
--- a/pkedge/metrics.go
+++ b/pkedge/metrics.go
@@ -59,11 +59,11 @@
 		gauge("peridotknot_targets_avoided", "Targets that are passed over for failures.", func() float64 { return float64(d.avoided(time.Now())) }),
 		gauge("peridotknot_slow_engines", "Engines that are slower than their kind.", func() float64 { return float64(d.paces.Slow(time.Now())) }),
 		gauge("peridotknot_quarantined_requests", "Requests that are kept from replicas, since each that ran them ended.", func() float64 {
-			held, _ := d.quarantine.table.Sizes(time.Now())
+			held, _ := d.quarantine.table.Counts(time.Now())
 			return float64(held)
 		}),
 		gauge("peridotknot_suspected_requests", "Requests under which replicas ended, the quarantined ones among them.", func() float64 {
-			_, known := d.quarantine.table.Sizes(time.Now())
+			_, known := d.quarantine.table.Counts(time.Now())
 			return float64(known)
 		}),
 		gauge("peridotknot_active_requests", "Requests in progress.", func() float64 { return float64(d.active.Load()) }),
--- a/pkedge/quarantine.go
+++ b/pkedge/quarantine.go
@@ -74,7 +74,7 @@
 
 // checkQuarantine returns errQuarantined if the request is quarantined at now.
 func (c *call) checkQuarantine(now time.Time) error {
-	if c.quarantine.table.Left(now, c.digest) > 0 {
+	if c.quarantine.table.Remaining(now, c.digest) > 0 {
 		return errQuarantined
 	}
 	return nil
@@ -86,7 +86,7 @@
 	out := &rejection{status: http.StatusBadGateway, reason: "quarantined"}
 	if verdict == pkverdict.NotRun {
 		out.status = http.StatusServiceUnavailable
-		out.retryAfter = max(c.quarantine.table.Left(now, c.digest).Round(time.Second), time.Second)
+		out.retryAfter = max(c.quarantine.table.Remaining(now, c.digest).Round(time.Second), time.Second)
 	}
 	return out
 }
@@ -123,7 +123,7 @@
 
 // recordSuccess records at now that replicas can run the request, which clears its crashes.
 func (c *call) recordSuccess(now time.Time) {
-	if c.quarantine.table.Ran(now, c.digest) {
+	if c.quarantine.table.RecordSuccess(now, c.digest) {
 		c.log.Info("suspected request completed, its crashes are cleared", "request_id", c.req.Ask.ID, "digest", c.digest.String())
 	}
 }
@@ -193,13 +193,13 @@
 // recordCrash records the crash of a target by a request.
 func (d *Daemon) recordCrash(now time.Time, send interruptedSend) {
 	q := &d.quarantine
-	finding := q.table.Crashed(now, send.digest, pkquarantine.StartOf(send.target.ID, send.target.Born))
-	if !finding.News {
+	finding := q.table.RecordCrash(now, send.digest, pkquarantine.StartIDOf(send.target.ID, send.target.Born))
+	if !finding.New {
 		return
 	}
 	d.log.Info("target crashed while running a request", "request_id", send.request, "digest", send.digest.String(), "target", send.target.ID,
 		"born", send.target.Born, "crashes", finding.Crashes)
-	if finding.Held {
+	if finding.Quarantined {
 		d.logQuarantined(now, send.digest, "own")
 	}
 	q.mu.Lock()
@@ -212,14 +212,14 @@
 
 // mergeCases merges crash reports of another entry or of the store.
 func (d *Daemon) mergeCases(now time.Time, cases []pkquarantine.Case, source string) {
-	for _, digest := range d.quarantine.table.Learn(now, cases) {
+	for _, digest := range d.quarantine.table.MergeCases(now, cases) {
 		d.logQuarantined(now, digest, source)
 	}
 }
 
 func (d *Daemon) logQuarantined(now time.Time, digest pkquarantine.Digest, source string) {
 	d.log.Warn("a request is quarantined", "digest", digest.String(), "source", source,
-		"for_ms", d.quarantine.table.Left(now, digest).Milliseconds())
+		"for_ms", d.quarantine.table.Remaining(now, digest).Milliseconds())
 }
 
 // savedCase is the stored form of a quarantined request.
@@ -259,7 +259,7 @@
 		return nil
 	}
 	maps.DeleteFunc(q.unsaved, func(digest pkquarantine.Digest, _ bool) bool { return !q.table.Knows(digest) })
-	return slices.DeleteFunc(q.table.Held(now), func(c pkquarantine.Case) bool { return !q.unsaved[c.Digest] })
+	return slices.DeleteFunc(q.table.IsQuarantined(now), func(c pkquarantine.Case) bool { return !q.unsaved[c.Digest] })
 }
 
 func (d *Daemon) markSaved(digest pkquarantine.Digest) {
@@ -276,7 +276,7 @@
 	if err != nil {
 		return err
 	}
-	lease, err := d.Store.Grant(ctx, d.quarantine.table.Left(now, one.Digest))
+	lease, err := d.Store.Grant(ctx, d.quarantine.table.Remaining(now, one.Digest))
 	d.recordStoreCall(callGrant, askerQuarantine, err)
 	if err != nil {
 		return err
@@ -300,7 +300,7 @@
 			continue
 		}
 		d.markSaved(saved.Case.Digest)
-		cases = append(cases, saved.Case.Older(now.Sub(time.UnixMilli(saved.SavedUnixMS))))
+		cases = append(cases, saved.Case.Aged(now.Sub(time.UnixMilli(saved.SavedUnixMS))))
 	}
 	d.mergeCases(now, cases, "store")
 }
--- a/pkedge/quarantine_fleet_test.go
+++ b/pkedge/quarantine_fleet_test.go
@@ -121,7 +121,7 @@
 	for {
 		all := true
 		for _, d := range entries {
-			all = all && d.quarantine.table.Left(f.now, poison) > 0
+			all = all && d.quarantine.table.Remaining(f.now, poison) > 0
 		}
 		if all {
 			return f.now.Sub(began)
@@ -158,7 +158,7 @@
 				cut := f.entries[1]
 				f.partitioned[cut] = true
 				for i, at := range []int{0, size.each, 2*size.each + 1} {
-					f.entries[at].quarantine.table.Crashed(f.now, poison, pkquarantine.Start(1+i))
+					f.entries[at].quarantine.table.RecordCrash(f.now, poison, pkquarantine.StartID(1+i))
 				}
 				took := f.roundsUntilQuarantined(t, f.reachable()...)
 				t.Logf("quarantined everywhere after %v", took)
@@ -171,7 +171,7 @@
 				fresh := f.add("b", 99, 0.2)
 				took = f.roundsUntilQuarantined(t, f.entries...)
 				t.Logf("quarantined at a partitioned and a new entry after %v", took)
-				assert.Assert(t, took <= within && fresh.quarantine.table.Left(f.now, poison) > 0, "%v", took)
+				assert.Assert(t, took <= within && fresh.quarantine.table.Remaining(f.now, poison) > 0, "%v", took)
 				t.Logf("at most %d bytes about quarantined requests in %v", f.maxRoundBytes, pkshare.HubInterval)
 			})
 		}
@@ -188,8 +188,8 @@
 	for range 4 {
 		f.round(t)
 	}
-	for i, d := range f.reachable()[:pkquarantine.Limit] {
-		d.quarantine.table.Crashed(f.now, poison, pkquarantine.Start(1+i))
+	for i, d := range f.reachable()[:pkquarantine.CrashLimit] {
+		d.quarantine.table.RecordCrash(f.now, poison, pkquarantine.StartID(1+i))
 	}
 	assert.Assert(t, f.roundsUntilQuarantined(t, f.reachable()...) <= 3*time.Second)
 	for range 20 {
@@ -216,14 +216,14 @@
 	}
 	for _, d := range f.entries {
 		for range perEntry {
-			d.quarantine.table.Crashed(f.now, pkquarantine.Digest(f.rand.Uint64()), pkquarantine.Start(f.rand.Uint64()))
+			d.quarantine.table.RecordCrash(f.now, pkquarantine.Digest(f.rand.Uint64()), pkquarantine.StartID(f.rand.Uint64()))
 		}
 	}
 	began, took := f.now, time.Duration(0)
 	for f.now.Sub(began) < span {
 		if at := f.now.Sub(began); at%(2100*time.Millisecond) == 0 && at <= 4200*time.Millisecond {
 			for _, i := range []int{0, 100, 300} {
-				f.entries[i].quarantine.table.Crashed(f.now, poison, pkquarantine.Start(f.rand.Uint64()))
+				f.entries[i].quarantine.table.RecordCrash(f.now, poison, pkquarantine.StartID(f.rand.Uint64()))
 			}
 		}
 		f.round(t)
@@ -244,7 +244,7 @@
 func (f *simFleet) quarantinedCount() int {
 	n := 0
 	for _, d := range f.entries {
-		if d.quarantine.table.Left(f.now, poison) > 0 {
+		if d.quarantine.table.Remaining(f.now, poison) > 0 {
 			n++
 		}
 	}
--- a/pkedge/quarantine_test.go
+++ b/pkedge/quarantine_test.go
@@ -34,7 +34,7 @@
 // crashCount returns the number of recent crashes that count against a request.
 func (d *Daemon) crashCount(now time.Time, digest pkquarantine.Digest) int {
 	n := 0
-	for _, one := range d.quarantine.table.News(now) {
+	for _, one := range d.quarantine.table.RecentChanges(now) {
 		for _, crash := range one.Crashes {
 			if one.Digest == digest && !crash.Cleared {
 				n++
@@ -191,15 +191,15 @@
 	d, _ := poolDaemon(engine("a", "x", 0, 80))
 	c := newCall(d, poison)
 	assert.NilError(t, c.checkQuarantine(now))
-	for i := range pkquarantine.Limit {
-		d.quarantine.table.Crashed(now, poison, pkquarantine.Start(1+i))
+	for i := range pkquarantine.CrashLimit {
+		d.quarantine.table.RecordCrash(now, poison, pkquarantine.StartID(1+i))
 	}
 	err := c.checkQuarantine(now)
 	assert.Assert(t, errors.Is(err, errQuarantined))
 	var got *rejection
 	assert.Assert(t, errors.As(c.finalError(t.Context(), pkverdict.NotRun, err), &got))
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
-	assert.Assert(t, got.retryAfter > pkquarantine.HoldFor-2*time.Second && got.retryAfter <= pkquarantine.HoldFor)
+	assert.Assert(t, got.retryAfter > pkquarantine.Period-2*time.Second && got.retryAfter <= pkquarantine.Period)
 	assert.Assert(t, errors.As(c.finalError(t.Context(), pkverdict.MayHaveRun, err), &got))
 	assert.Equal(t, got.status, http.StatusBadGateway)
 	assert.Equal(t, got.retryAfter, time.Duration(0))
@@ -235,13 +235,13 @@
 	heard, _ := poolDaemon()
 	store := &recordingStore{failGrants: 1}
 	saw.Store = store
-	for i := range pkquarantine.Limit - 1 {
-		saw.quarantine.table.Crashed(now, poison, pkquarantine.Start(1+i))
+	for i := range pkquarantine.CrashLimit - 1 {
+		saw.quarantine.table.RecordCrash(now, poison, pkquarantine.StartID(1+i))
 	}
 	saw.target(t, "a").MarkGone(now.Add(suspectTTL))
 	newCall(saw, poison).suspectFailedSend(now, lostSend(io.EOF), saw.target(t, "a"))
 	saw.checkInterrupted(now)
-	heard.mergeCases(now, saw.quarantine.table.News(now), "peer")
+	heard.mergeCases(now, saw.quarantine.table.RecentChanges(now), "peer")
 	assert.Equal(t, len(heard.unsavedCases(now)), 0)
 
 	todo := saw.unsavedCases(now)
@@ -255,7 +255,7 @@
 	fresh, _ := poolDaemon()
 	item := pkstore.Item{Key: store.writes[0].Key, Value: store.writes[0].Value}
 	fresh.loadSaved(now, []pkstore.Item{{Key: "owner", Value: []byte("x")}, {Key: quarantineKeyPrefix + "1", Value: []byte("spoiled")}, item})
-	assert.Assert(t, fresh.quarantine.table.Left(now, poison) > 0)
+	assert.Assert(t, fresh.quarantine.table.Remaining(now, poison) > 0)
 	fresh.loadSaved(now, []pkstore.Item{item})
 	assert.Equal(t, len(fresh.unsavedCases(now)), 0)
 }
@@ -268,8 +268,8 @@
 	d, s := poolDaemon(engine("a", "x", 0, 40), engine("b", "x", 40, 80), engine("beside", "x", 40, 80))
 	d.Engines = &repathEngines{}
 	setRetryBudget(d, 9)
-	for i := range pkquarantine.Limit {
-		d.quarantine.table.Crashed(now, poison, pkquarantine.Start(1+i))
+	for i := range pkquarantine.CrashLimit {
+		d.quarantine.table.RecordCrash(now, poison, pkquarantine.StartID(1+i))
 	}
 	a := attemptOver(t, d, s, "a", "b")
 	a.call.digest = poison
--- a/pkquarantine/case.go
+++ b/pkquarantine/case.go
@@ -10,34 +10,34 @@
 )
 
 const (
-	// Limit is the number of replicas that must have ended under a request before it is
+	// CrashLimit is the number of replicas that must have ended under a request before it is
 	// quarantined. Two crashes are not enough: one attempt of a caller may meet as many for other
 	// reasons, as do all requests that run beside a poison request.
-	Limit = 3
-	// HoldFor is how long a request is quarantined after its last crash. It bounds what a caller
+	CrashLimit = 3
+	// Period is how long a request is quarantined after its last crash. It bounds what a caller
 	// loses by a false positive, and limits a poison request that is sent forever to one replica
 	// per period, since the first crash after the period quarantines it again.
-	HoldFor = 10 * time.Minute
+	Period = 10 * time.Minute
 	// retention is how long a case is kept after its last crash.
-	retention = 2 * HoldFor
+	retention = 2 * Period
 	// maxCrashes bounds the crashes kept per case; the oldest are dropped.
 	maxCrashes = 8
 )
 
-// Start identifies one start of a replica; zero means none.
-type Start uint64
+// StartID identifies one start of a replica; zero means none.
+type StartID uint64
 
-// StartOf returns the identifier of a replica's start.
-func StartOf(id pkid.TargetID, born pkid.Birth) Start {
+// StartIDOf returns the identifier of a replica's start.
+func StartIDOf(id pkid.TargetID, born pkid.Birth) StartID {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(id)) // a hash never returns an error
 	_ = binary.Write(h, binary.BigEndian, int64(born))
-	return max(Start(h.Sum64()), 1)
+	return max(StartID(h.Sum64()), 1)
 }
 
 // Crash is the end of a replica that ran a request.
 type Crash struct {
-	Start Start `cbor:"1,keyasint" json:"start"`
+	Start StartID `cbor:"1,keyasint" json:"start"`
 	// AgoMS is how many milliseconds ago it ended. Entries exchange ages instead of times because
 	// their clocks differ.
 	AgoMS int64 `cbor:"2,keyasint" json:"ago_ms"`
@@ -51,9 +51,9 @@
 	Crashes []Crash `cbor:"2,keyasint" json:"crashes"`
 }
 
-// Older returns the case with its crashes aged by a duration. Negative durations, as from clock
+// Aged returns the case with its crashes aged by a duration. Negative durations, as from clock
 // skew, count as zero.
-func (c Case) Older(by time.Duration) Case {
+func (c Case) Aged(by time.Duration) Case {
 	out := Case{Digest: c.Digest, Crashes: slices.Clone(c.Crashes)}
 	for i := range out.Crashes {
 		ago := min(out.Crashes[i].AgoMS, retention.Milliseconds())
@@ -64,7 +64,7 @@
 
 // crash is a Crash with its time on this entry's clock.
 type crash struct {
-	start   Start
+	start   StartID
 	at      time.Time
 	cleared bool
 }
@@ -115,10 +115,10 @@
 // quarantinedUntil returns when the quarantine ends; zero if there was none.
 func (r *record) quarantinedUntil() time.Time {
 	n, last := r.countCrashes()
-	if n < Limit {
+	if n < CrashLimit {
 		return time.Time{}
 	}
-	return last.Add(HoldFor)
+	return last.Add(Period)
 }
 
 func (r *record) isQuarantined(now time.Time) bool { return now.Before(r.quarantinedUntil()) }
--- a/pkquarantine/table.go
+++ b/pkquarantine/table.go
@@ -32,26 +32,26 @@
 	cases map[Digest]*record
 }
 
-// Sum is a checksum of the quarantined requests, used by entries to detect that their sets differ;
+// Checksum is a checksum of the quarantined requests, used by entries to detect that their sets differ;
 // zero means none.
-type Sum uint64
+type Checksum uint64
 
-// Finding is the result of recording a crash.
-type Finding struct {
+// CrashResult is the result of recording a crash.
+type CrashResult struct {
 	// Crashes is the number of crashes that now count against the request.
 	Crashes int
-	// News is set if the crash was not known before.
-	News bool
-	// Held is set if the crash quarantined the request.
-	Held bool
+	// New is set if the crash was not known before.
+	New bool
+	// Quarantined is set if the crash quarantined the request.
+	Quarantined bool
 }
 
-// Crashed records that a replica ended under a request at now.
-func (t *Table) Crashed(now time.Time, d Digest, s Start) Finding {
+// RecordCrash records that a replica ended under a request at now.
+func (t *Table) RecordCrash(now time.Time, d Digest, s StartID) CrashResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var out Finding
-	out.News, out.Held = t.merge(now, d, []crash{{start: s, at: now}})
+	var out CrashResult
+	out.New, out.Quarantined = t.merge(now, d, []crash{{start: s, at: now}})
 	if r := t.cases[d]; r != nil {
 		out.Crashes, _ = r.countCrashes()
 	}
@@ -65,8 +65,8 @@
 	return t.cases[d] != nil
 }
 
-// Ran records that a request ran successfully at now and reports whether that cleared a case.
-func (t *Table) Ran(now time.Time, d Digest) bool {
+// RecordSuccess records that a request ran successfully at now and reports whether that cleared a case.
+func (t *Table) RecordSuccess(now time.Time, d Digest) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.cases[d]
@@ -84,8 +84,8 @@
 	return true
 }
 
-// Learn merges the cases of another entry and returns the requests that this newly quarantined.
-func (t *Table) Learn(now time.Time, cases []Case) []Digest {
+// MergeCases merges the cases of another entry and returns the requests that this newly quarantined.
+func (t *Table) MergeCases(now time.Time, cases []Case) []Digest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Digest
@@ -188,8 +188,8 @@
 	return out
 }
 
-// Left returns how long a request remains quarantined at now; zero if it is not.
-func (t *Table) Left(now time.Time, d Digest) time.Duration {
+// Remaining returns how long a request remains quarantined at now; zero if it is not.
+func (t *Table) Remaining(now time.Time, d Digest) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.cases[d]
@@ -199,19 +199,19 @@
 	return max(r.quarantinedUntil().Sub(now), 0)
 }
 
-// Sum returns the checksum of the requests quarantined at now.
-func (t *Table) Sum(now time.Time) Sum {
+// Checksum returns the checksum of the requests quarantined at now.
+func (t *Table) Checksum(now time.Time) Checksum {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	sum := Sum(1)
+	sum := Checksum(1)
 	for _, d := range t.quarantined(now) {
-		sum ^= Sum(d)
+		sum ^= Checksum(d)
 	}
 	return max(sum, 1)
 }
 
-// Held returns the cases of the requests quarantined at now.
-func (t *Table) Held(now time.Time) []Case {
+// IsQuarantined returns the cases of the requests quarantined at now.
+func (t *Table) IsQuarantined(now time.Time) []Case {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Case
@@ -221,17 +221,17 @@
 	return out
 }
 
-// Sizes returns the number of quarantined requests at now and of all cases.
-func (t *Table) Sizes(now time.Time) (quarantined, known int) {
+// Counts returns the number of quarantined requests at now and of all cases.
+func (t *Table) Counts(now time.Time) (quarantined, known int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.quarantined(now)), len(t.cases)
 }
 
-// News returns recently changed cases for one message, least often sent first, then those with the
+// RecentChanges returns recently changed cases for one message, least often sent first, then those with the
 // most crashes, then the latest to change. Ordering by the send count first ensures that every case
 // is sent; otherwise the same cases would fill each message.
-func (t *Table) News(now time.Time) []Case {
+func (t *Table) RecentChanges(now time.Time) []Case {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var recent []Digest
--- a/pkshare/message.go
+++ b/pkshare/message.go
@@ -47,7 +47,7 @@
 	Cases []pkquarantine.Case `cbor:"19,keyasint,omitempty"`
 	// QuarantineChecksum is a checksum of the sender's quarantined requests; zero from builds without a
 	// quarantine.
-	QuarantineChecksum pkquarantine.Sum `cbor:"20,keyasint,omitempty"`
+	QuarantineChecksum pkquarantine.Checksum `cbor:"20,keyasint,omitempty"`
 	// Version is the version of the configuration at Config. It orders configurations even where
 	// the store was restored from an older copy and holds another version at a later revision.
 	Version pkconfig.Version `cbor:"22,keyasint,omitempty"`
--- a/pkshare/table.go
+++ b/pkshare/table.go
@@ -55,7 +55,7 @@
 	listBehindSince   time.Time
 	// quarantineSum is the peer's checksum of quarantined requests, quarantineDiffersSince is when
 	// it was first seen to differ from this entry's.
-	quarantineSum          pkquarantine.Sum
+	quarantineSum          pkquarantine.Checksum
 	quarantineDiffersSince time.Time
 	// configSentAt, listSentAt and quarantineSentAt are when the peer was last sent a catch-up.
 	configSentAt     time.Time
@@ -181,7 +181,7 @@
 	Version pkconfig.Version
 	List    pkstore.Revision
 	// QuarantineChecksum is a checksum of the quarantined requests.
-	QuarantineChecksum pkquarantine.Sum
+	QuarantineChecksum pkquarantine.Checksum
 	// Hub says that this entry is a hub of the peer. It then sends a catch-up whatever other
 	// entries know.
 	Hub bool
@@ -227,7 +227,7 @@
 
 // quarantineDiffers reports whether a peer's quarantined requests have differed from this entry's
 // for some time. A checksum of zero comes from an earlier build, which would be sent them for ever.
-func (p *peer) quarantineDiffers(now time.Time, sum pkquarantine.Sum) bool {
+func (p *peer) quarantineDiffers(now time.Time, sum pkquarantine.Checksum) bool {
 	differs := p.quarantineSum != 0 && p.quarantineSum != sum
 	if !sustained(now, &p.quarantineDiffersSince, differs, catchUpDelay) || now.Sub(p.quarantineSentAt) < catchUpRetry {
 		return false
