--- a/pkadmit/gate.go
+++ b/pkadmit/gate.go
@@ -9,14 +9,16 @@
 
 // Options are the bounds of a gate.
 type Options struct {
-	// Queue is the number of requests of one account that may wait.
-	Queue int
-	// Hold is the assumed service time until requests have been observed.
-	Hold time.Duration
+	// MaxQueuePerAccount is the number of requests of one account that may wait.
+	MaxQueuePerAccount int
+	// InitialServiceTime is the assumed service time until requests have been observed.
+	InitialServiceTime time.Duration
 }
 
 // DefaultOptions returns the default bounds.
-func DefaultOptions() Options { return Options{Queue: 256, Hold: 300 * time.Millisecond} }
+func DefaultOptions() Options {
+	return Options{MaxQueuePerAccount: 256, InitialServiceTime: 300 * time.Millisecond}
+}
 
 // Gate is the admission control of one pool.
 type Gate struct {
@@ -42,16 +44,16 @@
 	queue     []*Ticket
 }
 
-// Ask is a request for admission.
-type Ask struct {
+// Request is a request for admission.
+type Request struct {
 	Account     pkid.AccountID
 	Weight      int
 	MaxInFlight int
 	// Tokens is the expected token usage.
 	Tokens   pkid.Tokens
 	Deadline time.Time
-	// Least is the minimum time that the request needs once started.
-	Least time.Duration
+	// MinServiceTime is the minimum time that the request needs once started.
+	MinServiceTime time.Duration
 }
 
 // Refusal is the error of a request that was not admitted.
@@ -72,7 +74,7 @@
 
 // Ticket is a waiting or running request.
 type Ticket struct {
-	ask       Ask
+	ask       Request
 	startTag  float64
 	startedAt time.Time
 	refused   *Refusal
@@ -87,19 +89,19 @@
 
 // NewGate returns a gate for at most limit requests in flight.
 func NewGate(o Options, limit int) *Gate {
-	return &Gate{opts: o, limit: limit, serviceTime: o.Hold, accounts: map[pkid.AccountID]*account{}}
+	return &Gate{opts: o, limit: limit, serviceTime: o.InitialServiceTime, accounts: map[pkid.AccountID]*account{}}
 }
 
 // Enter queues a request or refuses it. The ticket must be returned by Leave, or withdrawn if the
 // caller goes away before Ready is closed.
-func (g *Gate) Enter(now time.Time, ask Ask) (*Ticket, *Refusal) {
+func (g *Gate) Enter(now time.Time, ask Request) (*Ticket, *Refusal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	a := g.account(ask)
-	if a.inFlight+len(a.queue) >= ask.MaxInFlight || len(a.queue) >= g.opts.Queue {
+	if a.inFlight+len(a.queue) >= ask.MaxInFlight || len(a.queue) >= g.opts.MaxQueuePerAccount {
 		return nil, &Refusal{RetryAfter: g.retryAfter(a)}
 	}
-	if wait := g.estimateWait(a); now.Add(wait + ask.Least).After(ask.Deadline) {
+	if wait := g.estimateWait(a); now.Add(wait + ask.MinServiceTime).After(ask.Deadline) {
 		return nil, &Refusal{Late: true, RetryAfter: g.retryAfter(a)}
 	}
 	t := &Ticket{ask: ask, ready: make(chan struct{})}
@@ -134,9 +136,9 @@
 	g.serviceTime += (took - g.serviceTime) / time.Duration(g.samples)
 }
 
-// Withdraw cancels a ticket that its caller no longer waits for. It reports whether the request had
+// Cancel cancels a ticket that its caller no longer waits for. It reports whether the request had
 // already started, in which case Leave must be called.
-func (g *Gate) Withdraw(now time.Time, t *Ticket) bool {
+func (g *Gate) Cancel(now time.Time, t *Ticket) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !t.startedAt.IsZero() {
@@ -163,7 +165,7 @@
 	for _, a := range g.accounts {
 		kept := a.queue[:0]
 		for _, t := range a.queue {
-			if now.Add(t.ask.Least).After(t.ask.Deadline) {
+			if now.Add(t.ask.MinServiceTime).After(t.ask.Deadline) {
 				g.waiting--
 				a.finishTag -= float64(t.ask.Tokens) / a.weight
 				t.refused = &Refusal{Late: true, RetryAfter: g.retryAfter(a)}
@@ -184,7 +186,7 @@
 	return g.inFlight, g.waiting, g.limit
 }
 
-func (g *Gate) account(ask Ask) *account {
+func (g *Gate) account(ask Request) *account {
 	a, found := g.accounts[ask.Account]
 	if !found {
 		a = &account{finishTag: g.virtualTime}
--- a/pkadmit/gate_test.go
+++ b/pkadmit/gate_test.go
@@ -12,8 +12,8 @@
 
 var start = time.Unix(1000, 0)
 
-func request(account pkid.AccountID, weight int, tokens pkid.Tokens) Ask {
-	return Ask{Account: account, Weight: weight, MaxInFlight: 1000, Tokens: tokens, Deadline: start.Add(time.Hour)}
+func request(account pkid.AccountID, weight int, tokens pkid.Tokens) Request {
+	return Request{Account: account, Weight: weight, MaxInFlight: 1000, Tokens: tokens, Deadline: start.Add(time.Hour)}
 }
 
 func admitted(t *Ticket) bool {
@@ -28,10 +28,10 @@
 // Three accounts fill the queue of a saturated pool. Each must get its share by weight in tokens;
 // counted in requests, the account with the longer prompts would get more.
 func TestSharesFollowWeightsInTokens(t *testing.T) {
-	g := NewGate(Options{Queue: 1000, Hold: time.Second}, 1)
+	g := NewGate(Options{MaxQueuePerAccount: 1000, InitialServiceTime: time.Second}, 1)
 	var waiting []*Ticket
 	for range 300 {
-		for _, ask := range []Ask{request("burst", 1, 400), request("small", 1, 100), request("heavy", 2, 100)} {
+		for _, ask := range []Request{request("burst", 1, 400), request("small", 1, 100), request("heavy", 2, 100)} {
 			ticket, refusal := g.Enter(start, ask)
 			assert.Assert(t, refusal == nil)
 			waiting = append(waiting, ticket)
@@ -58,7 +58,7 @@
 
 func TestRefusals(t *testing.T) {
 	fullGate := func() *Gate {
-		g := NewGate(Options{Queue: 2, Hold: time.Second}, 1)
+		g := NewGate(Options{MaxQueuePerAccount: 2, InitialServiceTime: time.Second}, 1)
 		_, refusal := g.Enter(start, request("a", 1, 1))
 		assert.Assert(t, refusal == nil)
 		return g
@@ -94,11 +94,11 @@
 // A waiting request must be refused when its deadline can no longer be met, not when its turn
 // comes, and must no longer count against its account.
 func TestExpireRefusesAtOnce(t *testing.T) {
-	g := NewGate(Options{Queue: 10, Hold: time.Millisecond}, 1)
+	g := NewGate(Options{MaxQueuePerAccount: 10, InitialServiceTime: time.Millisecond}, 1)
 	running, _ := g.Enter(start, request("a", 1, 1))
 	ask := request("b", 1, 1)
 	ask.Deadline = start.Add(time.Second)
-	ask.Least = 100 * time.Millisecond
+	ask.MinServiceTime = 100 * time.Millisecond
 	ticket, refusal := g.Enter(start, ask)
 	assert.Assert(t, refusal == nil)
 	g.Expire(start.Add(800 * time.Millisecond))
@@ -115,15 +115,15 @@
 	g := NewGate(DefaultOptions(), 1)
 	running, _ := g.Enter(start, request("a", 1, 1))
 	ticket, _ := g.Enter(start, request("a", 1, 1))
-	assert.Assert(t, !g.Withdraw(start, ticket))
-	assert.Assert(t, g.Withdraw(start, running))
+	assert.Assert(t, !g.Cancel(start, ticket))
+	assert.Assert(t, g.Cancel(start, running))
 	g.Leave(start, running, 1)
 	inFlight, waiting, _ := g.Counts()
 	assert.Equal(t, inFlight+waiting, 0)
 }
 
 func TestBudgetBoundsRetries(t *testing.T) {
-	b := NewBudget(0.1, 5)
+	b := NewRetryBudget(0.1, 5)
 	spent := 0
 	for range 1000 {
 		b.Earn()
--- a/pkadmit/usage.go
+++ b/pkadmit/usage.go
@@ -6,10 +6,10 @@
 	"peridotknot.example/pkid"
 )
 
-// Forecast estimates which share of their requested tokens requests use. Callers often set a high
+// UsageEstimator estimates which share of their requested tokens requests use. Callers often set a high
 // token limit and use little of it; admitted by the limit alone, requests would be refused for
 // deadlines that they can meet. The zero value starts at a quarter.
-type Forecast struct {
+type UsageEstimator struct {
 	mu       sync.Mutex
 	ratio    float64
 	observed bool
@@ -20,8 +20,8 @@
 	smoothing    = 0.05
 )
 
-// Expect estimates the tokens used by a request that asks for asked.
-func (f *Forecast) Expect(asked pkid.Tokens) pkid.Tokens {
+// Estimate estimates the tokens used by a request that asks for asked.
+func (f *UsageEstimator) Estimate(asked pkid.Tokens) pkid.Tokens {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	ratio := f.ratio
@@ -32,7 +32,7 @@
 }
 
 // Observe updates the estimate from a complete answer.
-func (f *Forecast) Observe(asked, used pkid.Tokens) {
+func (f *UsageEstimator) Observe(asked, used pkid.Tokens) {
 	if asked <= 0 {
 		return
 	}
--- a/pkentry/callers.go
+++ b/pkentry/callers.go
@@ -131,7 +131,7 @@
 
 // admit waits for admission by the pool's gate. The returned function releases the slot and reports
 // the number of tokens used.
-func (c *call) admit(ctx context.Context, g *gate, ask pkadmit.Ask) (func(pkid.Tokens), error) {
+func (c *call) admit(ctx context.Context, g *gate, ask pkadmit.Request) (func(pkid.Tokens), error) {
 	_, span := c.tracer.Start(ctx, "admission")
 	defer span.End()
 	t, refusal := g.Enter(time.Now(), ask)
@@ -141,7 +141,7 @@
 	select {
 	case <-t.Ready():
 	case <-ctx.Done():
-		if !g.Withdraw(time.Now(), t) {
+		if !g.Cancel(time.Now(), t) {
 			return nil, &pkverdict.Error{Verdict: pkverdict.NotRun, Reason: pkverdict.ReasonCanceled, Err: ctx.Err()}
 		}
 	}
--- a/pkentry/chat.go
+++ b/pkentry/chat.go
@@ -122,13 +122,13 @@
 	defer cancel()
 	g := c.gate(run.Want.Pool)
 	g.budget.Earn()
-	leave, err := c.admit(ctx, g, pkadmit.Ask{
-		Account:     c.account.ID,
-		Weight:      c.account.Weight,
-		MaxInFlight: c.account.MaxInFlight,
-		Tokens:      run.PromptTokens + run.MaxTokens,
-		Deadline:    run.Deadline,
-		Least:       c.minServiceTime(run, g.output.Expect(run.MaxTokens)),
+	leave, err := c.admit(ctx, g, pkadmit.Request{
+		Account:        c.account.ID,
+		Weight:         c.account.Weight,
+		MaxInFlight:    c.account.MaxInFlight,
+		Tokens:         run.PromptTokens + run.MaxTokens,
+		Deadline:       run.Deadline,
+		MinServiceTime: c.minServiceTime(run, g.output.Estimate(run.MaxTokens)),
 	})
 	if err != nil {
 		return err
--- a/pkentry/routes.go
+++ b/pkentry/routes.go
@@ -160,8 +160,8 @@
 // gate is a pool's admission gate with its retry budget and its forecast of output lengths.
 type gate struct {
 	*pkadmit.Gate
-	budget *pkadmit.Budget
-	output pkadmit.Forecast
+	budget *pkadmit.RetryBudget
+	output pkadmit.UsageEstimator
 }
 
 const (
@@ -194,7 +194,7 @@
 	}
 	g := &gate{
 		Gate:   pkadmit.NewGate(pkadmit.DefaultOptions(), e.slots(id)),
-		budget: pkadmit.NewBudget(retryRatio, retryBurst),
+		budget: pkadmit.NewRetryBudget(retryRatio, retryBurst),
 	}
 	e.gates.byPool[id] = g
 	return g
--- a/pkentry/service.go
+++ b/pkentry/service.go
@@ -51,7 +51,7 @@
 	}
 	g := c.gate(s.Pool)
 	g.budget.Earn()
-	leave, err := c.admit(ctx, g, pkadmit.Ask{
+	leave, err := c.admit(ctx, g, pkadmit.Request{
 		Account:     c.account.ID,
 		Weight:      c.account.Weight,
 		MaxInFlight: c.account.MaxInFlight,
--- a/pkmeasure/state.go
+++ b/pkmeasure/state.go
@@ -128,8 +128,8 @@
 func admissionCost(n int) float64 {
 	now := time.Now()
 	g := pkadmit.NewGate(pkadmit.DefaultOptions(), 1)
-	ask := func(i int) pkadmit.Ask {
-		return pkadmit.Ask{Account: pkid.AccountID(fmt.Sprint(i)), Weight: 1, MaxInFlight: 1000, Tokens: 10, Deadline: now.Add(time.Hour)}
+	ask := func(i int) pkadmit.Request {
+		return pkadmit.Request{Account: pkid.AccountID(fmt.Sprint(i)), Weight: 1, MaxInFlight: 1000, Tokens: 10, Deadline: now.Add(time.Hour)}
 	}
 	var waiting []*pkadmit.Ticket
 	for i := range n + 1 {
