--- a/pkedge/plain.go
+++ b/pkedge/plain.go
@@ -49,7 +49,7 @@
 	return r.Services[0].Service
 }
 
-func (c *call) retryTerms() pkretry.Terms {
+func (c *call) retryTerms() pkretry.Limits {
 	return c.retry.Load().terms(c.entryCount(c.began))
 }
 
@@ -114,7 +114,7 @@
 // chargeRetry charges a send to the retry budget, unless that was done already, and reports whether
 // the budget allows it.
 func (c *call) chargeRetry() bool {
-	if !c.charged && !c.budgets.of(c.service).Repeat(time.Now(), c.retryTerms()) {
+	if !c.charged && !c.budgets.of(c.service).TryRetry(time.Now(), c.retryTerms()) {
 		return false
 	}
 	c.charged = false
--- a/pkedge/reroute.go
+++ b/pkedge/reroute.go
@@ -167,10 +167,10 @@
 		return false
 	}
 	budget, terms := d.budgets.of(a.call.service), d.retry.Load().terms(d.entryCount(now))
-	if reason == reasonLeaving && !budget.Spare(now, terms, drainRetryReserve) {
+	if reason == reasonLeaving && !budget.HasRetries(now, terms, drainRetryReserve) {
 		return false
 	}
-	if !budget.Repeat(now, terms) {
+	if !budget.TryRetry(now, terms) {
 		return false
 	}
 	a.charged.Store(true)
--- a/pkedge/settings.go
+++ b/pkedge/settings.go
@@ -49,8 +49,8 @@
 	Slack   float64 `yaml:"slack"`
 }
 
-func (r Retry) terms(entries int) pkretry.Terms {
-	return pkretry.Terms{Ratio: r.Ratio, Slack: r.Slack, Window: seconds(r.WindowS), Entries: entries}
+func (r Retry) terms(entries int) pkretry.Limits {
+	return pkretry.Limits{Ratio: r.Ratio, Slack: r.Slack, Window: seconds(r.WindowS), Entries: entries}
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/pkretry/budget.go
+++ b/pkretry/budget.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Terms are the configured limits on retries.
-type Terms struct {
+// Limits are the configured limits on retries.
+type Limits struct {
 	// Ratio is the number of retries that each request in the window allows.
 	Ratio float64
 	// Slack is the number of additional retries per window for all entries together.
@@ -43,15 +43,15 @@
 	slots [keptSlots]slotCounts
 }
 
-// Request counts a request to the service.
-func (b *Budget) Request(now time.Time, t Terms) {
+// RecordRequest counts a request to the service.
+func (b *Budget) RecordRequest(now time.Time, t Limits) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.slot(now, t).requests++
 }
 
-// Repeat counts a retry and reports whether the budget allows it.
-func (b *Budget) Repeat(now time.Time, t Terms) bool {
+// TryRetry counts a retry and reports whether the budget allows it.
+func (b *Budget) TryRetry(now time.Time, t Limits) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.allows(now, t, 1) {
@@ -61,15 +61,15 @@
 	return true
 }
 
-// Spare reports whether the budget allows the given number of retries at now, without counting
+// HasRetries reports whether the budget allows the given number of retries at now, without counting
 // them.
-func (b *Budget) Spare(now time.Time, t Terms, retries int) bool {
+func (b *Budget) HasRetries(now time.Time, t Limits, retries int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.allows(now, t, retries)
 }
 
-func (b *Budget) allows(now time.Time, t Terms, n int) bool {
+func (b *Budget) allows(now time.Time, t Limits, n int) bool {
 	current := b.slot(now, t)
 	requests, retries := 0.0, 0.0
 	for i := range b.slots {
@@ -85,7 +85,7 @@
 }
 
 // slot returns the counts of the current slot.
-func (b *Budget) slot(now time.Time, t Terms) *slotCounts {
+func (b *Budget) slot(now time.Time, t Limits) *slotCounts {
 	length := max(t.Window/slots, time.Millisecond)
 	if b.began.IsZero() {
 		b.began = now
--- a/pkretry/budget_test.go
+++ b/pkretry/budget_test.go
@@ -10,18 +10,18 @@
 
 func TestRetriesStayWithinLimitOfEachWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		terms := Terms{Ratio: 0.2, Slack: 40, Window: 10 * time.Second, Entries: rapid.IntRange(1, 8).Draw(t, "entries")}
+		terms := Limits{Ratio: 0.2, Slack: 40, Window: 10 * time.Second, Entries: rapid.IntRange(1, 8).Draw(t, "entries")}
 		var b Budget
 		now := time.Unix(1_000_000, 0)
 		var requests, retries []time.Time
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "request") {
-				b.Request(now, terms)
+				b.RecordRequest(now, terms)
 				requests = append(requests, now)
 				continue
 			}
-			if b.Repeat(now, terms) {
+			if b.TryRetry(now, terms) {
 				retries = append(retries, now)
 			}
 			in := func(all []time.Time, ago time.Duration) float64 {
@@ -45,31 +45,31 @@
 }
 
 func TestRetriesAreAllowedAgainAfterWindow(t *testing.T) {
-	terms := Terms{Slack: 10, Window: 10 * time.Second}
+	terms := Limits{Slack: 10, Window: 10 * time.Second}
 	var b Budget
 	now := time.Unix(1_000_000, 0)
 	n := 0
-	for b.Repeat(now, terms) {
+	for b.TryRetry(now, terms) {
 		n++
 	}
 	assert.Equal(t, n, 8)
-	assert.Assert(t, !b.Repeat(now.Add(5*time.Second), terms))
-	assert.Assert(t, b.Repeat(now.Add(11*time.Second), terms))
+	assert.Assert(t, !b.TryRetry(now.Add(5*time.Second), terms))
+	assert.Assert(t, b.TryRetry(now.Add(11*time.Second), terms))
 }
 
 // Two bursts of retries 9.5 s apart lie within one window of 10 s. Guards against a window that is
 // short by up to a slot, which would allow each burst the full limit.
 func TestBurstsInOneWindowShareLimit(t *testing.T) {
-	terms := Terms{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}
+	terms := Limits{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}
 	for begin := range 10 {
 		var b Budget
 		now := time.Unix(1000, 0)
-		b.Request(now, terms)
+		b.RecordRequest(now, terms)
 		now = now.Add(time.Duration(begin) * 100 * time.Millisecond)
 		spent := 0
 		for _, wait := range []time.Duration{0, 9500 * time.Millisecond} {
 			now = now.Add(wait)
-			for b.Repeat(now, terms) {
+			for b.TryRetry(now, terms) {
 				spent++
 			}
 		}
