--- a/pkclaim/table.go
+++ b/pkclaim/table.go
@@ -72,21 +72,21 @@
 	return true
 }
 
-// Held is an active claim.
-type Held struct {
+// ActiveClaim is an active claim.
+type ActiveClaim struct {
 	Key    Key
 	Holder pkid.RequestID
 }
 
-// All returns the claims active at now.
-func (t *Table) All(now time.Time) []Held {
-	var out []Held
+// Active returns the claims active at now.
+func (t *Table) Active(now time.Time) []ActiveClaim {
+	var out []ActiveClaim
 	for i := range t.shards {
 		s := &t.shards[i]
 		s.mu.Lock()
 		for k, c := range s.claims {
 			if now.Before(c.expiresAt) {
-				out = append(out, Held{Key: k, Holder: c.holder})
+				out = append(out, ActiveClaim{Key: k, Holder: c.holder})
 			}
 		}
 		s.mu.Unlock()
