--- a/pkedge/plain.go
+++ b/pkedge/plain.go
@@ -79,7 +79,7 @@
 			// The target's own error answer is forwarded unchanged.
 			return c.forward(a, body)
 		}
-		if !verdict.MayRepeat(c.route.Repeatable()) {
+		if !verdict.MayRetry(c.route.Repeatable()) {
 			if a != nil {
 				return c.forward(a, body)
 			}
@@ -108,7 +108,7 @@
 
 // mayRetry reports whether the verdict and the limit of attempts allow another send.
 func (c *call) mayRetry(verdict pkverdict.Verdict) bool {
-	return verdict.MayRepeat(c.route.Repeatable()) && c.runs < c.route.MaxAttempts
+	return verdict.MayRetry(c.route.Repeatable()) && c.runs < c.route.MaxAttempts
 }
 
 // chargeRetry charges a send to the retry budget, unless that was done already, and reports whether
--- a/pkservice/proxy.go
+++ b/pkservice/proxy.go
@@ -99,7 +99,7 @@
 		t.Failed(time.Now())
 		avoid = append(avoid, t.Info.ID)
 		// A partly read body cannot be replayed.
-		retry := verdict.MayRepeat(c.Idempotent) && body.n.Load() == 0
+		retry := verdict.MayRetry(c.Idempotent) && body.n.Load() == 0
 		if !retry || attempt >= p.attempts || !budget.Spend() {
 			return Reply{}, failure
 		}
--- a/pkverdict/verdict.go
+++ b/pkverdict/verdict.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// MayRepeat reports whether a request that ended with v may be retried.
-func (v Verdict) MayRepeat(idempotent bool) bool {
+// MayRetry reports whether a request that ended with v may be retried.
+func (v Verdict) MayRetry(idempotent bool) bool {
 	return v == NotRun || (v == MayHaveRun && idempotent)
 }
 
--- a/pkverdict/verdict_test.go
+++ b/pkverdict/verdict_test.go
@@ -49,10 +49,10 @@
 }
 
 func TestMayRepeat(t *testing.T) {
-	assert.Assert(t, NotRun.MayRepeat(false))
-	assert.Assert(t, !MayHaveRun.MayRepeat(false))
-	assert.Assert(t, MayHaveRun.MayRepeat(true))
-	assert.Assert(t, !Ran.MayRepeat(true))
+	assert.Assert(t, NotRun.MayRetry(false))
+	assert.Assert(t, !MayHaveRun.MayRetry(false))
+	assert.Assert(t, MayHaveRun.MayRetry(true))
+	assert.Assert(t, !Ran.MayRetry(true))
 	var unset Verdict
-	assert.Assert(t, !unset.MayRepeat(false))
+	assert.Assert(t, !unset.MayRetry(false))
 }
