--- a/pkedge/lease.go
+++ b/pkedge/lease.go
@@ -95,7 +95,7 @@
 			d.log.Info("the lease is renewed again", "failures", failures)
 		}
 		if endWatches != nil {
-			d.watches.End(endWatches)
+			d.watches.CancelAll(endWatches)
 		}
 	})
 }
--- a/pkedge/stalewatch.go
+++ b/pkedge/stalewatch.go
@@ -73,7 +73,7 @@
 		}
 		if d.staleWatch.recordPoll(item.Revision) {
 			d.adopt(item, "peek")
-			d.watches.End(errStaleWatch)
+			d.watches.CancelAll(errStaleWatch)
 		}
 		if d.staleWatch.hasDelivered(item.Revision) {
 			seen = at
--- a/pkwait/group.go
+++ b/pkwait/group.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// End cancels all calls in progress; context.Cause of their contexts returns cause.
-func (g *Group) End(cause error) {
+// CancelAll cancels all calls in progress; context.Cause of their contexts returns cause.
+func (g *Group) CancelAll(cause error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for cancel := range g.cancels {
--- a/pkwait/group_test.go
+++ b/pkwait/group_test.go
@@ -17,7 +17,7 @@
 	ended()
 	ctx, ended := g.Begin(t.Context())
 	defer ended()
-	g.End(cause)
+	g.CancelAll(cause)
 	assert.Equal(t, context.Cause(ctx), cause)
 	assert.Equal(t, context.Cause(finished), context.Canceled)
 	later, ended := g.Begin(t.Context())
