--- a/pkstream/relay.go
+++ b/pkstream/relay.go
@@ -14,13 +14,13 @@
 	dropped int
 }
 
-// Step is the action to take for a token.
-type Step uint8
+// Action is the action to take for a token.
+type Action uint8
 
 // Actions for a token.
 const (
 	// Drop means that the token is late or repeated.
-	Drop Step = iota
+	Drop Action = iota
 	// Deliver means that the token is the caller's next one.
 	Deliver
 	// Replace means that the live attempt is faulty and must be replaced.
@@ -35,7 +35,7 @@
 }
 
 // Token records a token of an attempt and returns what to do with it.
-func (r *Relay) Token(attempt pkid.Attempt, index pkid.Index) Step {
+func (r *Relay) Token(attempt pkid.Attempt, index pkid.Index) Action {
 	if attempt != r.attempt || r.ended {
 		r.dropped++
 		return Drop
