--- a/peridotknot-edge/main.go
+++ b/peridotknot-edge/main.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	log.Info("serving", "version", pkversion.Text(), "entry", s.Entry, "data_center", s.DataCenter, "callers", d.Callers(), "ready", d.Ready())
+	log.Info("serving", "version", pkversion.Text(), "entry", s.Entry, "data_center", s.DataCenter, "callers", d.CallersAddr(), "ready", d.ReadyAddr())
 	go reload(ctx, file, d, log)
 	return d.Run(ctx)
 }
--- a/pkedge/daemon.go
+++ b/pkedge/daemon.go
@@ -137,11 +137,11 @@
 	d.log.Info("settings reloaded", "retry_ratio", s.Retry.Ratio, "retry_slack", s.Retry.Slack, "seeds", len(s.Seeds))
 }
 
-// Callers returns the listen address for callers.
-func (d *Daemon) Callers() string { return d.callers.Addr().String() }
+// CallersAddr returns the listen address for callers.
+func (d *Daemon) CallersAddr() string { return d.callers.Addr().String() }
 
-// Ready returns the listen address for readiness and metrics.
-func (d *Daemon) Ready() string { return d.ready.Addr().String() }
+// ReadyAddr returns the listen address for readiness and metrics.
+func (d *Daemon) ReadyAddr() string { return d.ready.Addr().String() }
 
 // Run serves until ctx ends, stops gracefully, and returns once all its goroutines have ended.
 func (d *Daemon) Run(ctx context.Context) error {
--- a/pkedge/node_test.go
+++ b/pkedge/node_test.go
@@ -109,7 +109,7 @@
 }
 
 func (n *node) isReady(t testing.TB) bool {
-	resp, err := http.Get("http://" + n.Ready() + "/readiness")
+	resp, err := http.Get("http://" + n.ReadyAddr() + "/readiness")
 	assert.NilError(t, err)
 	assert.NilError(t, resp.Body.Close())
 	return resp.StatusCode == http.StatusOK
@@ -117,7 +117,7 @@
 
 // metric returns the value of a metric as text, or an empty string if it is missing.
 func (n *node) metric(t testing.TB, name string) string {
-	resp, err := http.Get("http://" + n.Ready() + "/metrics")
+	resp, err := http.Get("http://" + n.ReadyAddr() + "/metrics")
 	assert.NilError(t, err)
 	defer func() { assert.NilError(t, resp.Body.Close()) }()
 	lines := bufio.NewScanner(resp.Body)
@@ -162,7 +162,7 @@
 	if text != "" {
 		body = strings.NewReader(text)
 	}
-	req, err := platformtest.NewRequest(t.Context(), method, "http://"+n.Callers()+path, id, key, tokens, wait, body)
+	req, err := platformtest.NewRequest(t.Context(), method, "http://"+n.CallersAddr()+path, id, key, tokens, wait, body)
 	assert.NilError(t, err)
 	resp, err := n.client.Do(req)
 	if err != nil {
--- a/pkedge/pace_test.go
+++ b/pkedge/pace_test.go
@@ -46,7 +46,7 @@
 		round := 0
 		eventually(t, "streams without the slow engine", func() bool {
 			round++
-			return !n.firstEngines(t, w, fmt.Sprintf("slow-%s-%d", n.Callers(), round))[first]
+			return !n.firstEngines(t, w, fmt.Sprintf("slow-%s-%d", n.CallersAddr(), round))[first]
 		})
 		assert.Equal(t, n.metric(t, "peridotknot_slow_engines"), "1")
 	}
--- a/pkedge/stop_test.go
+++ b/pkedge/stop_test.go
@@ -38,7 +38,7 @@
 	n := start(t, w, "one")
 	n.waitForStream(t)
 	ctx, disconnect := context.WithCancel(t.Context())
-	req, err := platformtest.NewRequest(ctx, http.MethodPost, "http://"+n.Callers()+"/talk/1", "leaver", platformtest.Key, 100_000, waitTimeout, nil)
+	req, err := platformtest.NewRequest(ctx, http.MethodPost, "http://"+n.CallersAddr()+"/talk/1", "leaver", platformtest.Key, 100_000, waitTimeout, nil)
 	assert.NilError(t, err)
 	resp, err := n.client.Do(req)
 	assert.NilError(t, err)
