--- a/pkedge/bench_test.go
+++ b/pkedge/bench_test.go
@@ -21,7 +21,7 @@
 // BenchmarkStream forwards streams of 100 events and reports the processor time per event,
 // including the stand-in and the caller.
 func BenchmarkStream(b *testing.B) {
-	w := platformtest.NewWorld()
+	w := platformtest.NewPlatform()
 	b.Cleanup(w.Close)
 	for i := range 6 {
 		w.Add(platformtest.Pool, fmt.Sprintf("i-%d", i), "a")
@@ -48,7 +48,7 @@
 
 // BenchmarkPlain forwards calls to a plain service.
 func BenchmarkPlain(b *testing.B) {
-	w := platformtest.NewWorld()
+	w := platformtest.NewPlatform()
 	b.Cleanup(w.Close)
 	w.Add(platformtest.App, "i-a", "a")
 	n := start(b, w, "one")
--- a/pkedge/entries_test.go
+++ b/pkedge/entries_test.go
@@ -30,10 +30,10 @@
 	late := again.Restart()
 	assertComplete(t, answers, streams, length)
 	eventually(t, "layers again", func() bool {
-		_, end := again.Held()
+		_, end := again.HeldLayers()
 		return end > 0
 	})
-	w.Foreign(again.ID, late)
+	w.PutEntry(again.ID, late)
 	for i := range 20 {
 		got := n.do(t, http.MethodPost, "/talk/1", fmt.Sprintf("after-%d", i), platformtest.Key, 3)
 		assert.NilError(t, got.err)
@@ -75,12 +75,12 @@
 	}
 	n := start(t, w, "one")
 	n.waitForStream(t)
-	w.Foreign("f-1", entry("unheard of", nil))
-	w.Foreign("f-2", entry(platformtest.App, map[string]any{"state": "warm"}))
-	w.Foreign("f-3", entry(platformtest.Pool, map[string]any{"layers": map[string]any{"from": 0, "target": platformtest.Layers + 1}}))
-	w.Foreign("f-4", entry(platformtest.Pool, map[string]any{"capacity_slots": -1}))
-	w.Foreign("f-5", "no entry at all")
-	w.Foreign("i-a", entry(platformtest.App, map[string]any{"address": 7}))
+	w.PutEntry("f-1", entry("unheard of", nil))
+	w.PutEntry("f-2", entry(platformtest.App, map[string]any{"state": "warm"}))
+	w.PutEntry("f-3", entry(platformtest.Pool, map[string]any{"layers": map[string]any{"from": 0, "target": platformtest.Layers + 1}}))
+	w.PutEntry("f-4", entry(platformtest.Pool, map[string]any{"capacity_slots": -1}))
+	w.PutEntry("f-5", "no entry at all")
+	w.PutEntry("i-a", entry(platformtest.App, map[string]any{"address": 7}))
 	for _, field := range []string{"service", "state", "layers", "capacity_slots", "entry", "address"} {
 		name := fmt.Sprintf("peridotknot_replica_entries_unusable_total{field=%q}", field)
 		eventually(t, name, func() bool { return n.metric(t, name) == "1" })
@@ -93,7 +93,7 @@
 		assert.Equal(t, got.body, events(3))
 	}
 	a.Touch()
-	b.Leave()
+	b.Drain()
 	i := 0
 	eventually(t, "the valid entry", func() bool {
 		i++
--- a/pkedge/era_bench_test.go
+++ b/pkedge/era_bench_test.go
@@ -19,9 +19,9 @@
 func BenchmarkReturnOfTheStore(b *testing.B) {
 	for _, entries := range []int{8, 67, 195} {
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
-			w := platformtest.NewWorld()
+			w := platformtest.NewPlatform()
 			b.Cleanup(w.Close)
-			w.Store.BeginEras()
+			w.Store.EnableEras()
 			w.Add(platformtest.App, "i-a", "a")
 			nodes := make([]*node, entries)
 			for i := range nodes {
@@ -34,20 +34,20 @@
 			members := func() bool { return len(w.Store.Keys(platform.OwnPrefix+"entry/")) == entries }
 			eventually(b, "all members", members)
 			for era := 2; b.Loop(); era++ {
-				before := w.Store.Asked()
+				before := w.Store.CallCount()
 				began := time.Now()
-				w.Store.Return(w.Store.Copy())
+				w.Store.Restore(w.Store.Snapshot())
 				busiest := int64(0)
 				for last, known := before, 0; known < entries || !members(); {
 					time.Sleep(100 * time.Millisecond)
-					now := w.Store.Asked()
+					now := w.Store.CallCount()
 					busiest, last = max(busiest, now-last), now
 					for known < entries && nodes[known].metric(b, "peridotknot_store_era") == fmt.Sprint(era) {
 						known++
 					}
 				}
 				b.ReportMetric(time.Since(began).Seconds(), "s/return")
-				b.ReportMetric(float64(w.Store.Asked()-before)/float64(entries), "calls/entry")
+				b.ReportMetric(float64(w.Store.CallCount()-before)/float64(entries), "calls/entry")
 				b.ReportMetric(float64(busiest), "calls/busiest-0.1s")
 			}
 		})
--- a/pkedge/era_test.go
+++ b/pkedge/era_test.go
@@ -13,7 +13,7 @@
 )
 
 // runsAt returns the engines that ran a request.
-func runsAt(w *platformtest.World, id string) map[string]bool {
+func runsAt(w *platformtest.Platform, id string) map[string]bool {
 	out := map[string]bool{}
 	for _, run := range w.Runs(id) {
 		out[run.Replica] = true
@@ -28,7 +28,7 @@
 	t.Parallel()
 	const revoked, good = platformtest.Key, "key-2"
 	w, engines := newPool(t)
-	w.Store.BeginEras()
+	w.Store.EnableEras()
 	w.Configure(func(config map[string]any) {
 		config["tenants"] = []any{map[string]any{"name": platformtest.Account, "api_keys": []string{revoked, good}}}
 	})
@@ -39,13 +39,13 @@
 	for _, n := range nodes {
 		n.waitForStream(t)
 	}
-	from := w.Store.Copy()
+	from := w.Store.Snapshot()
 	w.Configure(func(config map[string]any) {
 		config["tenants"] = []any{map[string]any{"name": platformtest.Account, "api_keys": []string{good}}}
 	})
 	leaving := "i-0"
-	engines[leaving].Leave()
-	engines[leaving].Behave(platformtest.Silent)
+	engines[leaving].Drain()
+	engines[leaving].SetBehavior(platformtest.Unresponsive)
 	at := w.Store.Revision(platform.ReplicaPrefix)
 	for _, n := range nodes {
 		eventually(t, "the new version", func() bool { return n.metric(t, "peridotknot_config_version") == "6" })
@@ -63,7 +63,7 @@
 			assert.Assert(t, !runsAt(w, id)[leaving])
 		}
 	}
-	w.Store.Return(from)
+	w.Store.Restore(from)
 	for _, n := range nodes {
 		eventually(t, "the new era", func() bool { return n.metric(t, "peridotknot_store_era") == "2" })
 		assert.Equal(t, n.metric(t, "peridotknot_store_returns_total"), "1")
@@ -73,12 +73,12 @@
 
 	w.Store.Put(platform.ConfigKey, w.Config())
 	for _, one := range engines {
-		one.Beat()
+		one.Heartbeat()
 	}
 	check()
 	eventually(t, "all entries as members", func() bool { return len(w.Store.Keys(platform.OwnPrefix+"entry/")) == len(nodes) })
 	fresh := w.Add(platformtest.Pool, "i-new", "a")
-	eventually(t, "layers ordered by the owner", func() bool { _, end := fresh.Held(); return end > 0 })
+	eventually(t, "layers ordered by the owner", func() bool { _, end := fresh.HeldLayers(); return end > 0 })
 	check()
 	for _, n := range nodes {
 		assert.Equal(t, n.metric(t, "peridotknot_config_version"), "6")
@@ -90,13 +90,13 @@
 func TestANewEntryLearnsTheNewestConfigurationInANewEra(t *testing.T) {
 	t.Parallel()
 	w, _ := newPool(t)
-	w.Store.BeginEras()
+	w.Store.EnableEras()
 	old := start(t, w, "n-old")
 	eventually(t, "readiness", func() bool { return old.isReady(t) })
-	from := w.Store.Copy()
+	from := w.Store.Snapshot()
 	w.Configure(nil)
 	eventually(t, "the new version", func() bool { return old.metric(t, "peridotknot_config_version") == "4" })
-	w.Store.Return(from)
+	w.Store.Restore(from)
 	eventually(t, "the new era", func() bool { return old.metric(t, "peridotknot_store_era") == "2" })
 	fresh := start(t, w, "n-fresh")
 	eventually(t, "the newest version", func() bool { return fresh.metric(t, "peridotknot_config_version") == "4" })
@@ -108,14 +108,14 @@
 func TestNewOwnerWaitsForTheLeaseOfThePreviousEra(t *testing.T) {
 	t.Parallel()
 	w, _ := newPool(t)
-	w.Store.BeginEras()
+	w.Store.EnableEras()
 	l := link(t, w)
 	owner := startAt(t, l.Addr(), "n-owner")
 	owner.waitForStream(t)
 	assert.Equal(t, len(w.Store.Keys(platform.OwnPrefix+"owner")), 1)
 	other := start(t, w, "n-other")
 	eventually(t, "readiness", func() bool { return other.isReady(t) })
-	w.Store.Return(w.Store.Copy())
+	w.Store.Restore(w.Store.Snapshot())
 	eventually(t, "the new era at the other entry", func() bool { return other.metric(t, "peridotknot_store_era") == "2" })
 	eventually(t, "the owner again", func() bool {
 		return string(w.Store.Value(platform.OwnPrefix+"owner")) == string(pkid.EntryID("n-owner"))
@@ -126,16 +126,16 @@
 // never answered, while lease renewals show the new one.
 func TestConfigurationIsInForceIfTheWatchOfThePreviousEraIsNotAnswered(t *testing.T) {
 	t.Parallel()
-	w := platformtest.NewWorld()
+	w := platformtest.NewPlatform()
 	defer w.Close()
-	w.Store.BeginEras()
+	w.Store.EnableEras()
 	w.Add(platformtest.App, "i-a", "a")
 	nodes := []*node{start(t, w, "one"), start(t, w, "two")}
 	for _, n := range nodes {
 		eventually(t, "readiness", func() bool { return n.isReady(t) })
 	}
-	eventually(t, "watches", func() bool { return w.Store.Watches(platform.ConfigKey) == len(nodes) })
-	w.Store.ReturnInSilence(w.Store.Copy())
+	eventually(t, "watches", func() bool { return w.Store.WatchCount(platform.ConfigKey) == len(nodes) })
+	w.Store.RestoreHoldingWatches(w.Store.Snapshot())
 	key := addKey(w, "key-2")
 	for _, n := range nodes {
 		n.waitForKey(t, key)
--- a/pkedge/fleet_test.go
+++ b/pkedge/fleet_test.go
@@ -49,7 +49,7 @@
 	}
 	// A change ends the watches that are no longer needed.
 	eventually(t, "watches of the list by hubs only", func() bool {
-		n := w.Store.Watches(platform.ReplicaPrefix)
+		n := w.Store.WatchCount(platform.ReplicaPrefix)
 		if n > hubs {
 			engines["i-5"].Touch()
 		}
@@ -64,13 +64,13 @@
 			eventually(t, what, func() bool { return n.knowsRevision(t, revision) })
 		}
 	}
-	engines["i-0"].Leave()
+	engines["i-0"].Drain()
 	everyone(nodes, "the first draining engine at all entries")
 	for _, n := range nodes[:hubs] {
 		n.stop()
 		assert.NilError(t, <-n.ended)
 		n.ended <- nil
 	}
-	engines["i-1"].Leave()
+	engines["i-1"].Drain()
 	everyone(nodes[hubs:], "the second draining engine without the hubs")
 }
--- a/pkedge/follow_test.go
+++ b/pkedge/follow_test.go
@@ -12,9 +12,9 @@
 )
 
 // startServing starts a world with one plain replica and an entry that is ready.
-func startServing(t *testing.T) (*platformtest.World, *node) {
+func startServing(t *testing.T) (*platformtest.Platform, *node) {
 	t.Helper()
-	w := platformtest.NewWorld()
+	w := platformtest.NewPlatform()
 	t.Cleanup(w.Close)
 	w.Add(platformtest.App, "i-a", "a")
 	n := start(t, w, "one")
@@ -43,11 +43,11 @@
 func TestWritesDuringAnInterruptedWatchAreSeen(t *testing.T) {
 	t.Parallel()
 	w, n := startServing(t)
-	w.Store.Deafen()
+	w.Store.DropEvents()
 	w.Configure(func(c map[string]any) {
 		c["tenants"] = []any{map[string]any{"name": platformtest.Account, "api_keys": []string{"key-2"}}}
 	})
-	w.Store.Forget()
+	w.Store.Compact()
 	eventually(t, "the revocation", func() bool {
 		return n.do(t, http.MethodGet, "/read/1", "1", platformtest.Key, 0).status == http.StatusUnauthorized
 	})
@@ -57,7 +57,7 @@
 // the revocation from its peers.
 func TestAnEntryWithoutTheStoreIsToldByPeers(t *testing.T) {
 	t.Parallel()
-	w := platformtest.NewWorld()
+	w := platformtest.NewPlatform()
 	defer w.Close()
 	w.Add(platformtest.App, "i-a", "a")
 	l := link(t, w)
@@ -79,7 +79,7 @@
 }
 
 // addKey writes a configuration with an additional key and returns the key.
-func addKey(w *platformtest.World, key string) string {
+func addKey(w *platformtest.Platform, key string) string {
 	w.Configure(func(c map[string]any) {
 		c["tenants"] = []any{map[string]any{"name": platformtest.Account, "api_keys": []string{platformtest.Key, key}}}
 	})
@@ -100,13 +100,13 @@
 // that has fallen silent, while lease renewals succeed over new ones.
 func TestConfigurationIsInForceAfterConnectionsFellSilent(t *testing.T) {
 	t.Parallel()
-	w := platformtest.NewWorld()
+	w := platformtest.NewPlatform()
 	defer w.Close()
 	w.Add(platformtest.App, "i-a", "a")
 	l := link(t, w)
 	n := startAt(t, l.Addr(), "one")
 	eventually(t, "readiness", func() bool { return n.isReady(t) })
-	l.Silence()
+	l.Blackhole()
 	n.waitForKey(t, addKey(w, "key-2"))
 }
 
@@ -116,7 +116,7 @@
 	t.Parallel()
 	w, n := startServing(t)
 	eventually(t, "watches", func() bool {
-		return w.Store.Watches(platform.ConfigKey) == 1 && w.Store.Watches(platform.ReplicaPrefix) == 1
+		return w.Store.WatchCount(platform.ConfigKey) == 1 && w.Store.WatchCount(platform.ReplicaPrefix) == 1
 	})
 	w.Store.HoldWatches()
 	w.Add(platformtest.App, "i-b", "a")
--- a/pkedge/node_test.go
+++ b/pkedge/node_test.go
@@ -55,13 +55,13 @@
 	return p, func() error { return errors.Join(s.Close(), engines.Close(), sender.Close()) }
 }
 
-func start(t testing.TB, w *platformtest.World, name string, seeds ...string) *node {
+func start(t testing.TB, w *platformtest.Platform, name string, seeds ...string) *node {
 	t.Helper()
 	return startAt(t, w.Store.Addr(), name, seeds...)
 }
 
 // startIn starts a node in a data centre.
-func startIn(t testing.TB, w *platformtest.World, name, dataCenter string) *node {
+func startIn(t testing.TB, w *platformtest.Platform, name, dataCenter string) *node {
 	t.Helper()
 	return startWith(t, pkedge.Settings{
 		Entry: pkid.EntryID(name), DataCenter: pkid.DataCenter(dataCenter), Store: w.Store.Addr(),
@@ -174,9 +174,9 @@
 }
 
 // newPool starts a world with a pool of six engines.
-func newPool(t *testing.T) (*platformtest.World, map[string]*platformtest.Replica) {
+func newPool(t *testing.T) (*platformtest.Platform, map[string]*platformtest.Replica) {
 	t.Helper()
-	w := platformtest.NewWorld()
+	w := platformtest.NewPlatform()
 	t.Cleanup(w.Close)
 	engines := map[string]*platformtest.Replica{}
 	for i := range 6 {
@@ -207,7 +207,7 @@
 
 // startStreams starts streams at the same time and waits until engines run all of them. It returns
 // their answers and their first engines.
-func (n *node) startStreams(t *testing.T, w *platformtest.World, streams, length int) (chan reply, map[string]bool) {
+func (n *node) startStreams(t *testing.T, w *platformtest.Platform, streams, length int) (chan reply, map[string]bool) {
 	t.Helper()
 	answers := make(chan reply, streams)
 	for i := range streams {
@@ -240,9 +240,9 @@
 }
 
 // link starts a link to the store of a world, which can be interrupted.
-func link(t *testing.T, w *platformtest.World) *platformtest.Link {
+func link(t *testing.T, w *platformtest.Platform) *platformtest.Proxy {
 	t.Helper()
-	l := platformtest.NewLink(w.Store.Addr())
+	l := platformtest.NewProxy(w.Store.Addr())
 	t.Cleanup(l.Close)
 	return l
 }
--- a/pkedge/pace_test.go
+++ b/pkedge/pace_test.go
@@ -14,7 +14,7 @@
 const streamsPerRound = 12
 
 // firstEngines returns the first engines of consecutive streams.
-func (n *node) firstEngines(t *testing.T, w *platformtest.World, round string) map[string]bool {
+func (n *node) firstEngines(t *testing.T, w *platformtest.Platform, round string) map[string]bool {
 	t.Helper()
 	out := map[string]bool{}
 	for i := range streamsPerRound {
@@ -41,7 +41,7 @@
 	for first = range near.firstEngines(t, w, "before") {
 		break
 	}
-	engines[first].Slow(12)
+	engines[first].SetPace(12)
 	for _, n := range []*node{near, far} {
 		round := 0
 		eventually(t, "streams without the slow engine", func() bool {
@@ -50,7 +50,7 @@
 		})
 		assert.Equal(t, n.metric(t, "peridotknot_slow_engines"), "1")
 	}
-	engines[first].Slow(1)
+	engines[first].SetPace(1)
 	for _, n := range []*node{near, far} {
 		eventually(t, "the recovered engine", func() bool { return n.metric(t, "peridotknot_slow_engines") == "0" })
 	}
--- a/pkedge/poison_test.go
+++ b/pkedge/poison_test.go
@@ -22,7 +22,7 @@
 
 // poisonRequest is a request that crashes each replica that runs it, sent again and again.
 type poisonRequest struct {
-	w       *platformtest.World
+	w       *platformtest.Platform
 	service string
 	uri     string
 	tokens  int
@@ -41,7 +41,7 @@
 		method, body = http.MethodPost, "the same each time"
 	}
 	got := n.doWith(t, waitTimeout, method, p.uri, fmt.Sprintf("poison-%d", p.sent), platformtest.Key, p.tokens, body)
-	for _, id := range p.w.Ended()[p.replaced:] {
+	for _, id := range p.w.CrashedReplicas()[p.replaced:] {
 		p.replaced++
 		p.w.Store.Delete("servers/" + id)
 		p.w.Add(p.service, fmt.Sprintf("again-%d", p.replaced), "a")
@@ -53,7 +53,7 @@
 // waits until all entries have quarantined it.
 func (p *poisonRequest) crashReplicas(t *testing.T, nodes ...*node) {
 	t.Helper()
-	for i := 0; len(p.w.Ended()) < 3; i++ {
+	for i := 0; len(p.w.CrashedReplicas()) < 3; i++ {
 		n := nodes[i%len(nodes)]
 		if p.tokens > 0 {
 			n.waitForStream(t)
@@ -80,13 +80,13 @@
 // further replica.
 func (p *poisonRequest) assertRefused(t *testing.T, nodes ...*node) {
 	t.Helper()
-	before := len(p.w.Ended())
+	before := len(p.w.CrashedReplicas())
 	var answers []reply
 	for _, n := range nodes {
 		answers = append(answers, p.send(t, n))
 	}
-	assert.Assert(t, len(p.w.Ended()) <= maxEnded, "%d replicas ended", len(p.w.Ended()))
-	assert.Equal(t, len(p.w.Ended()), before)
+	assert.Assert(t, len(p.w.CrashedReplicas()) <= maxEnded, "%d replicas ended", len(p.w.CrashedReplicas()))
+	assert.Equal(t, len(p.w.CrashedReplicas()), before)
 	for _, got := range answers {
 		assert.NilError(t, got.err)
 		assert.Equal(t, got.status, http.StatusServiceUnavailable)
@@ -173,9 +173,9 @@
 
 // quarantinedPlainRequest returns a plain service, two entries, and a call that is quarantined at
 // both after crashing three replicas.
-func quarantinedPlainRequest(t *testing.T) (w *platformtest.World, p *poisonRequest, one, two *node) {
+func quarantinedPlainRequest(t *testing.T) (w *platformtest.Platform, p *poisonRequest, one, two *node) {
 	t.Helper()
-	w = platformtest.NewWorld()
+	w = platformtest.NewPlatform()
 	t.Cleanup(w.Close)
 	for _, id := range []string{"i-a", "i-b", "i-c"} {
 		w.Add(platformtest.App, id, "a")
--- a/pkedge/stop_test.go
+++ b/pkedge/stop_test.go
@@ -44,5 +44,5 @@
 	assert.NilError(t, err)
 	disconnect()
 	assert.NilError(t, resp.Body.Close())
-	eventually(t, "the end of the work", func() bool { return w.Active() == 0 })
+	eventually(t, "the end of the work", func() bool { return w.ActiveStreams() == 0 })
 }
--- a/pkedge/stream_test.go
+++ b/pkedge/stream_test.go
@@ -25,21 +25,21 @@
 		behavior platformtest.Behavior
 		runs     int
 	}{
-		{platformtest.Answers, 1},
+		{platformtest.Normal, 1},
 		{platformtest.Full, 1},
-		{platformtest.Other, 1},
-		{platformtest.ResetFirst, 1},
-		{platformtest.ResetAfter, 2},
-		{platformtest.Cut, 2},
-		{platformtest.HeadOnly, 2},
-		{platformtest.Fails, 2},
+		{platformtest.WrongInstance, 1},
+		{platformtest.ResetBeforeBody, 1},
+		{platformtest.ResetAfterBody, 2},
+		{platformtest.Truncated, 2},
+		{platformtest.HeadersOnly, 2},
+		{platformtest.ServerError, 2},
 		{platformtest.Unsealed, 2},
-		{platformtest.Silent, 2},
+		{platformtest.Unresponsive, 2},
 	}
 	for _, c := range cases {
 		t.Run(string(c.behavior), func(t *testing.T) {
 			id := "talk-" + string(c.behavior)
-			w.Next(c.behavior)
+			w.SetNextBehaviors(c.behavior)
 			got := n.do(t, http.MethodPost, "/talk/1", id, platformtest.Key, 30)
 			assert.NilError(t, got.err)
 			assert.Equal(t, got.status, http.StatusOK)
@@ -48,14 +48,14 @@
 		})
 	}
 	t.Run("both attempts break off before the first event", func(t *testing.T) {
-		w.Next(platformtest.HeadOnly, platformtest.HeadOnly)
+		w.SetNextBehaviors(platformtest.HeadersOnly, platformtest.HeadersOnly)
 		got := n.do(t, http.MethodPost, "/talk/1", "talk-heads", platformtest.Key, 30)
 		assert.NilError(t, got.err)
 		assert.Equal(t, got.status, http.StatusBadGateway)
 		assert.Equal(t, got.header.Get(platformtest.SealHeader), "", "an error answer of the router is not signed")
 	})
 	t.Run("both attempts are cut", func(t *testing.T) {
-		w.Next(platformtest.Cut, platformtest.Cut)
+		w.SetNextBehaviors(platformtest.Truncated, platformtest.Truncated)
 		got := n.do(t, http.MethodPost, "/talk/1", "talk-twice", platformtest.Key, 30)
 		assert.Assert(t, got.err != nil, "an incomplete answer must end with an error")
 		assert.Assert(t, strings.HasPrefix(events(30), got.body), got.body)
@@ -80,7 +80,7 @@
 // seconds, while no other engine has room.
 func TestStreamsStayOnADrainingEngineWithoutAlternative(t *testing.T) {
 	t.Parallel()
-	w := platformtest.NewWorld()
+	w := platformtest.NewPlatform()
 	t.Cleanup(w.Close)
 	engines := []*platformtest.Replica{w.Add(platformtest.Pool, "i-0", "a"), w.Add(platformtest.Pool, "i-1", "a")}
 	n := start(t, w, "one")
@@ -91,7 +91,7 @@
 	eventually(t, "the stream", func() bool { return len(w.Runs("long")) == 1 })
 	for _, e := range engines {
 		if e.ID != w.Runs("long")[0].Replica {
-			e.Leave()
+			e.Drain()
 		}
 	}
 	got := <-answers
@@ -103,7 +103,7 @@
 // once after an engine has died: they must continue when capacity becomes free a second later.
 func TestStreamsWaitForCapacityAfterAnEngineDied(t *testing.T) {
 	t.Parallel()
-	w := platformtest.NewWorld()
+	w := platformtest.NewPlatform()
 	t.Cleanup(w.Close)
 	w.Add(platformtest.Pool, "i-0", "a")
 	second := w.Add(platformtest.Pool, "i-1", "a")
@@ -145,7 +145,7 @@
 		case spared == "":
 			spared = id
 		default:
-			e.Leave()
+			e.Drain()
 		}
 	}
 	assertComplete(t, answers, streams, length)
@@ -156,20 +156,20 @@
 // incomplete.
 func TestStreamsOfPlainServices(t *testing.T) {
 	t.Parallel()
-	w := platformtest.NewWorld()
+	w := platformtest.NewPlatform()
 	t.Cleanup(w.Close)
 	w.Add(platformtest.App, "i-a", "a")
 	w.Add(platformtest.App, "i-b", "a")
 	w.Configure(func(c map[string]any) {
-		once := platformtest.Route("once", "/once/", "streaming", platformtest.App)
+		once := platformtest.RouteConfig("once", "/once/", "streaming", platformtest.App)
 		once["resumable"] = false
-		c["routes"] = append(c["routes"].([]any), platformtest.Route("live", "/live/", "streaming", platformtest.App), once)
+		c["routes"] = append(c["routes"].([]any), platformtest.RouteConfig("live", "/live/", "streaming", platformtest.App), once)
 	})
 	n := start(t, w, "one")
 	eventually(t, "readiness", func() bool { return n.isReady(t) })
-	for _, b := range []platformtest.Behavior{platformtest.Answers, platformtest.Full, platformtest.ResetAfter, platformtest.Cut, platformtest.Fails} {
+	for _, b := range []platformtest.Behavior{platformtest.Normal, platformtest.Full, platformtest.ResetAfterBody, platformtest.Truncated, platformtest.ServerError} {
 		id := "live-" + string(b)
-		w.Next(b)
+		w.SetNextBehaviors(b)
 		got := n.do(t, http.MethodPost, "/live/1", id, platformtest.Key, 30)
 		assert.NilError(t, got.err, string(b))
 		assert.Equal(t, got.body, events(30), string(b))
@@ -179,15 +179,15 @@
 		status   int
 		cut      bool
 	}{
-		{platformtest.Answers, 200, false},
+		{platformtest.Normal, 200, false},
 		{platformtest.Full, 200, false},
-		{platformtest.ResetAfter, 502, false},
-		{platformtest.Cut, 200, true},
-		{platformtest.Fails, 500, false},
+		{platformtest.ResetAfterBody, 502, false},
+		{platformtest.Truncated, 200, true},
+		{platformtest.ServerError, 500, false},
 	}
 	for _, c := range cases {
 		id := "once-" + string(c.behavior)
-		w.Next(c.behavior)
+		w.SetNextBehaviors(c.behavior)
 		got := n.do(t, http.MethodPost, "/once/1", id, platformtest.Key, 30)
 		assert.Equal(t, got.status, c.status, string(c.behavior))
 		assert.Equal(t, got.err != nil, c.cut, string(c.behavior))
@@ -199,7 +199,7 @@
 // went all the time, so that neither pool is given layers.
 func TestTwoNewPoolsAreGivenLayers(t *testing.T) {
 	t.Parallel()
-	w := platformtest.NewWorld()
+	w := platformtest.NewPlatform()
 	t.Cleanup(w.Close)
 	const second = platformtest.Pool + "-2"
 	for i := range 2 {
@@ -209,8 +209,8 @@
 		w.Add(second, fmt.Sprintf("j-%d", i), "a")
 	}
 	w.Configure(func(c map[string]any) {
-		c["routes"] = append(c["routes"].([]any), platformtest.Route("second", "/second/", "streaming", second))
-		c["services"] = append(c["services"].([]any), map[string]any{"name": second, "engine": platformtest.Engine()})
+		c["routes"] = append(c["routes"].([]any), platformtest.RouteConfig("second", "/second/", "streaming", second))
+		c["services"] = append(c["services"].([]any), map[string]any{"name": second, "engine": platformtest.EngineConfig()})
 	})
 	n := start(t, w, "one")
 	n.waitForStream(t)
--- a/pkedge/target_test.go
+++ b/pkedge/target_test.go
@@ -26,23 +26,23 @@
 		runs   int
 	}
 	behaviors := []platformtest.Behavior{
-		platformtest.Full, platformtest.Other, platformtest.ResetFirst, platformtest.ResetAfter, platformtest.Cut,
-		platformtest.Extra, platformtest.Fails, platformtest.Unsealed, platformtest.Unframed, platformtest.Silent, platformtest.Early,
+		platformtest.Full, platformtest.WrongInstance, platformtest.ResetBeforeBody, platformtest.ResetAfterBody, platformtest.Truncated,
+		platformtest.ExtraResponse, platformtest.ServerError, platformtest.Unsealed, platformtest.NoContentLength, platformtest.Unresponsive, platformtest.EarlyResponse,
 	}
 	rows := map[platformtest.Behavior]struct{ idempotent, once want }{
-		platformtest.Full:       {want{200, 1}, want{200, 1}},
-		platformtest.Other:      {want{200, 1}, want{200, 1}},
-		platformtest.ResetFirst: {want{200, 1}, want{502, 0}},
-		platformtest.ResetAfter: {want{200, 2}, want{502, 1}},
-		platformtest.Cut:        {want{200, 2}, want{502, 1}},
-		platformtest.Extra:      {want{200, 1}, want{200, 1}},
-		platformtest.Fails:      {want{200, 2}, want{500, 1}},
-		platformtest.Unsealed:   {want{200, 2}, want{502, 1}},
-		platformtest.Unframed:   {want{200, 1}, want{200, 1}},
-		platformtest.Silent:     {want{200, 2}, want{504, 1}},
-		platformtest.Early:      {want{413, 1}, want{413, 1}},
+		platformtest.Full:            {want{200, 1}, want{200, 1}},
+		platformtest.WrongInstance:   {want{200, 1}, want{200, 1}},
+		platformtest.ResetBeforeBody: {want{200, 1}, want{502, 0}},
+		platformtest.ResetAfterBody:  {want{200, 2}, want{502, 1}},
+		platformtest.Truncated:       {want{200, 2}, want{502, 1}},
+		platformtest.ExtraResponse:   {want{200, 1}, want{200, 1}},
+		platformtest.ServerError:     {want{200, 2}, want{500, 1}},
+		platformtest.Unsealed:        {want{200, 2}, want{502, 1}},
+		platformtest.NoContentLength: {want{200, 1}, want{200, 1}},
+		platformtest.Unresponsive:    {want{200, 2}, want{504, 1}},
+		platformtest.EarlyResponse:   {want{413, 1}, want{413, 1}},
 	}
-	w := platformtest.NewWorld()
+	w := platformtest.NewPlatform()
 	defer w.Close()
 	w.Add(platformtest.App, "i-a", "a")
 	w.Add(platformtest.App, "i-b", "a")
@@ -55,19 +55,19 @@
 				if kind == "book" {
 					method, wanted = http.MethodPost, rows[b].once
 				}
-				w.Next(b)
+				w.SetNextBehaviors(b)
 				wait := waitTimeout
-				if b == platformtest.Silent {
+				if b == platformtest.Unresponsive {
 					wait = silentTimeout
 				}
 				got := n.doWithin(t, wait, method, "/"+kind+"/1?q=%2f", id, platformtest.Key, 0)
-				w.Next()
+				w.SetNextBehaviors()
 				assert.NilError(t, got.err)
 				assert.Equal(t, got.status, wanted.status)
 				runs := w.Runs(id)
 				assert.Equal(t, len(runs), wanted.runs)
 				if got.status == http.StatusOK {
-					assert.Equal(t, got.body, platformtest.Body(id))
+					assert.Equal(t, got.body, platformtest.ResponseBody(id))
 					assert.Equal(t, got.header.Get(platformtest.SealHeader), "s")
 				}
 				if got.status >= 500 && got.status != 500 {
@@ -80,7 +80,7 @@
 				}
 				// Data left over on a connection must not reach the next caller.
 				next := n.do(t, http.MethodGet, "/read/2", id+"-next", platformtest.Key, 0)
-				assert.Equal(t, next.body, platformtest.Body(id+"-next"))
+				assert.Equal(t, next.body, platformtest.ResponseBody(id+"-next"))
 			})
 		}
 	}
@@ -90,7 +90,7 @@
 // connections: nothing was sent, so the next target may be tried.
 func TestRefusedConnectionIsNotCountedAsASend(t *testing.T) {
 	t.Parallel()
-	w := platformtest.NewWorld()
+	w := platformtest.NewPlatform()
 	t.Cleanup(w.Close)
 	dead := []*platformtest.Replica{w.Add(platformtest.App, "i-a", "a"), w.Add(platformtest.App, "i-b", "a")}
 	w.Add(platformtest.App, "i-c", "a")
@@ -117,7 +117,7 @@
 // tell the others.
 func TestPeersLearnOfARefusedConnection(t *testing.T) {
 	t.Parallel()
-	w := platformtest.NewWorld()
+	w := platformtest.NewPlatform()
 	t.Cleanup(w.Close)
 	dead := w.Add(platformtest.App, "i-a", "a")
 	w.Add(platformtest.App, "i-b", "a")
