--- a/peridotknot/status.go
+++ b/peridotknot/status.go
@@ -73,7 +73,7 @@
 		s := row.Status
 		state := "ready"
 		if !s.Ready {
-			state = "not ready: " + s.Why
+			state = "not ready: " + s.Reason
 		}
 		store := "store ok"
 		if !s.StoreOK {
--- a/peridotknotd/main.go
+++ b/peridotknotd/main.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	log.Info("serving", "version", pkversion.Text(), "callers", e.Callers(), "admin", e.Admin())
+	log.Info("serving", "version", pkversion.Text(), "callers", e.CallersAddr(), "admin", e.AdminAddr())
 	return e.Run(ctx)
 }
 
--- a/pkentry/admin.go
+++ b/pkentry/admin.go
@@ -22,7 +22,7 @@
 	Entry      pkid.EntryID      `json:"entry"`
 	DataCenter pkid.DataCenter   `json:"data_center"`
 	Ready      bool              `json:"ready"`
-	Why        string            `json:"why,omitempty"`
+	Reason     string            `json:"why,omitempty"`
 	Revision   pkid.Revision     `json:"revision"`
 	Digest     pkmanifest.Digest `json:"digest,omitempty"`
 	InForceFor string            `json:"in_force_for,omitempty"`
@@ -106,7 +106,7 @@
 // Status returns a snapshot of the entry's state at now.
 func (e *Entry) Status(now time.Time) Status {
 	s := Status{Entry: e.settings.Entry, DataCenter: e.settings.DataCenter, Pools: []PoolStatus{}}
-	s.Ready, s.Why = e.ready()
+	s.Ready, s.Reason = e.ready()
 	s.SentBytes, s.ReceivedBytes = e.peers.net.Bytes()
 	s.Owns = e.owned()
 	s.StoreCalls = e.ports.Store.Calls()
--- a/pkentry/entry.go
+++ b/pkentry/entry.go
@@ -86,7 +86,7 @@
 	if err := e.listen(); err != nil {
 		return nil, errors.Join(err, e.close())
 	}
-	e.peers = e.newPeers(e.Peers())
+	e.peers = e.newPeers(e.PeersAddr())
 	return e, nil
 }
 
@@ -107,14 +107,14 @@
 	return nil
 }
 
-// Callers returns the address of the client listener.
-func (e *Entry) Callers() string { return e.callerListener.Addr().String() }
+// CallersAddr returns the address of the client listener.
+func (e *Entry) CallersAddr() string { return e.callerListener.Addr().String() }
 
-// Admin returns the address of the admin listener.
-func (e *Entry) Admin() string { return e.adminListener.Addr().String() }
+// AdminAddr returns the address of the admin listener.
+func (e *Entry) AdminAddr() string { return e.adminListener.Addr().String() }
 
-// Peers returns the address of the peer listener, or an empty string if the entry has none.
-func (e *Entry) Peers() string {
+// PeersAddr returns the address of the peer listener, or an empty string if the entry has none.
+func (e *Entry) PeersAddr() string {
 	if e.peerListener == nil {
 		return ""
 	}
--- a/pkentry/routes.go
+++ b/pkentry/routes.go
@@ -31,8 +31,8 @@
 func (s Settings) links() pkroute.Links {
 	l := pkroute.Links{Default: 250 * time.Microsecond, Delays: map[pkroute.Link]time.Duration{}}
 	for _, link := range s.Links {
-		l.Delays[pkroute.Link{From: link.From, To: link.To}] = link.Time
-		l.Delays[pkroute.Link{From: link.To, To: link.From}] = link.Time
+		l.Delays[pkroute.Link{From: link.From, To: link.To}] = link.Latency
+		l.Delays[pkroute.Link{From: link.To, To: link.From}] = link.Latency
 	}
 	return l
 }
--- a/pkentry/settings.go
+++ b/pkentry/settings.go
@@ -18,13 +18,13 @@
 	DataCenter pkid.DataCenter `yaml:"data_center"`
 	Listen     Listen          `yaml:"listen"`
 	// Store and Platform are the IP:port addresses of the key-value service and of the VM list.
-	Store    string      `yaml:"store"`
-	Platform string      `yaml:"platform"`
-	Peers    Peers       `yaml:"peers"`
-	Links    []LinkTime  `yaml:"links"`
-	Log      Log         `yaml:"log"`
-	Stop     Stop        `yaml:"stop"`
-	Trace    TraceExport `yaml:"trace"`
+	Store    string        `yaml:"store"`
+	Platform string        `yaml:"platform"`
+	Peers    Peers         `yaml:"peers"`
+	Links    []LinkLatency `yaml:"links"`
+	Log      Log           `yaml:"log"`
+	Stop     Stop          `yaml:"stop"`
+	Trace    TraceExport   `yaml:"trace"`
 	// Policy selects how targets are chosen. Empty is the default, by cost; the others serve
 	// comparisons.
 	Policy pkroute.Policy `yaml:"policy"`
@@ -57,11 +57,11 @@
 	CA   string `yaml:"ca"`
 }
 
-// LinkTime is the one-way network latency between two data centres.
-type LinkTime struct {
-	From pkid.DataCenter `yaml:"from"`
-	To   pkid.DataCenter `yaml:"to"`
-	Time time.Duration   `yaml:"time"`
+// LinkLatency is the one-way network latency between two data centres.
+type LinkLatency struct {
+	From    pkid.DataCenter `yaml:"from"`
+	To      pkid.DataCenter `yaml:"to"`
+	Latency time.Duration   `yaml:"time"`
 }
 
 // Log configures the log level and format.
--- a/pklab/lab.go
+++ b/pklab/lab.go
@@ -169,7 +169,7 @@
 	defer l.mu.Unlock()
 	var out []pktrace.Address
 	for _, e := range l.entries {
-		out = append(out, pktrace.Address{Callers: e.Callers(), Admin: e.Admin()})
+		out = append(out, pktrace.Address{Callers: e.CallersAddr(), Admin: e.AdminAddr()})
 	}
 	return out
 }
@@ -200,7 +200,7 @@
 		if err != nil {
 			return err
 		}
-		if err := waitReady(ctx, l.Entry(next).Admin()); err != nil {
+		if err := waitReady(ctx, l.Entry(next).AdminAddr()); err != nil {
 			return err
 		}
 		if err := l.StopEntry(i); err != nil {
--- a/pklab/peers_test.go
+++ b/pklab/peers_test.go
@@ -39,7 +39,7 @@
 func TestNewEntryStartsWhileStoreIsDown(t *testing.T) {
 	l := startLab(t, 2)
 	waitForNeighbors(t, l, 2)
-	seed := l.Entry(0).Peers()
+	seed := l.Entry(0).PeersAddr()
 	l.opts.Change = func(_ int, s *pkentry.Settings) { s.Peers.Seeds = []string{seed} }
 	l.World.KV.SetDown(true)
 	i, err := l.AddEntry()
--- a/pkmeasure/control.go
+++ b/pkmeasure/control.go
@@ -58,7 +58,7 @@
 		return controlCost{}, err
 	}
 	defer func() { _ = l.Close() }() // the measurement does not depend on the shutdown
-	seed = l.Entry(0).Peers()
+	seed = l.Entry(0).PeersAddr()
 	for range n - 1 {
 		if _, err := l.AddEntry(); err != nil {
 			return controlCost{}, err
