--- a/pkanswer/run.go
+++ b/pkanswer/run.go
@@ -277,7 +277,7 @@
 		return false, a.stageLost(chain, ev.Lost, now)
 	case ev.End != "":
 		if err := a.relay.End(attempt, ev.Total); err != nil {
-			chain.Stages[0].Failed(now)
+			chain.Stages[0].RecordFailure(now)
 			return false, err
 		}
 		return true, nil
@@ -286,7 +286,7 @@
 	case pkstream.Drop:
 		return false, nil
 	case pkstream.Replace:
-		chain.Stages[0].Failed(now)
+		chain.Stages[0].RecordFailure(now)
 		a.avoid = append(a.avoid, chain.Stages[0].Info.ID)
 		return false, fmt.Errorf("gap in the stream: got token %d, want token %d", ev.Index, a.relay.Next())
 	default:
@@ -303,7 +303,7 @@
 	a.avoid = append(a.avoid, id)
 	for _, t := range chain.Stages {
 		if t.Info.ID == id {
-			t.Failed(now)
+			t.RecordFailure(now)
 		}
 	}
 	return fmt.Errorf("engine reported the loss of stage %s", id)
@@ -314,12 +314,12 @@
 		// The caller disconnected or the deadline passed, which is no failure of the target.
 		return
 	}
-	t.Failed(time.Now())
+	t.RecordFailure(time.Now())
 	a.avoid = append(a.avoid, t.Info.ID)
 }
 
 func recordSuccess(chain pkroute.Chain) {
 	for _, t := range chain.Stages {
-		t.Succeeded()
+		t.RecordSuccess()
 	}
 }
--- a/pkanswer/run_test.go
+++ b/pkanswer/run_test.go
@@ -169,7 +169,7 @@
 
 func stage(try, place int) *pktarget.Target {
 	one := pktarget.NewTarget(pktarget.Info{ID: pkid.TargetID(fmt.Sprintf("%d-%d", try, place))})
-	one.Hold(pktarget.Holding{Range: pkid.Range{First: pkid.Layer(place), End: pkid.Layer(place + 1)}})
+	one.SetHolding(pktarget.Holding{Range: pkid.Range{First: pkid.Layer(place), End: pkid.Layer(place + 1)}})
 	return one
 }
 
--- a/pkentry/chat.go
+++ b/pkentry/chat.go
@@ -162,7 +162,7 @@
 	}
 	least := time.Duration(output) * chain.StepTime
 	for _, t := range chain.Stages {
-		if r, _, known := t.Reported(now); known {
+		if r, _, known := t.LastReport(now); known {
 			least += time.Duration(run.PromptTokens) * r.Prefill
 		}
 	}
--- a/pkentry/manifest.go
+++ b/pkentry/manifest.go
@@ -189,7 +189,7 @@
 	e.manifest.body = body
 	e.manifest.since = now
 	e.manifest.alarm = ""
-	e.targets.Changed()
+	e.targets.InvalidatePlans()
 	if e.peers != nil {
 		e.peers.wakeAll()
 	}
--- a/pkentry/owner.go
+++ b/pkentry/owner.go
@@ -188,7 +188,7 @@
 			e.log.Warn("order to engine failed", "target", next.Target.Info.ID, "error", err)
 		default:
 			e.log.Info("ordered", "target", next.Target.Info.ID, "version", next.Order.Version, "first", next.Order.First, "end", next.Order.End)
-			next.Target.Leave(pktarget.WitnessSelf, true)
+			next.Target.SetLeaving(pktarget.SourceTarget, true)
 		}
 	}
 }
@@ -198,16 +198,16 @@
 	s := pkorder.PoolState{Model: m, Loading: map[pkid.TargetID]pkid.Range{}, Fence: o.lease.Fence()}
 	now := time.Now()
 	for _, t := range e.pool(m.Pool) {
-		if t.LeavingBy(pktarget.WitnessList) {
+		if t.LeavingBy(pktarget.SourceVMList) {
 			continue
 		}
-		if _, age, known := t.Reported(now); !known || age > lostAfter {
+		if _, age, known := t.LastReport(now); !known || age > lostAfter {
 			// An unresponsive engine adds no capacity, and retrying its order would delay the
 			// orders of the others.
 			continue
 		}
 		s.Targets = append(s.Targets, t)
-		if t.LeavingBy(pktarget.WitnessSelf) {
+		if t.LeavingBy(pktarget.SourceTarget) {
 			s.Loading[t.Info.ID] = o.ordered[t.Info.ID]
 		}
 	}
--- a/pkentry/peers.go
+++ b/pkentry/peers.go
@@ -150,7 +150,7 @@
 		e.peers.updateLinks(ctx, e, e.peers.table.SendPeers(now))
 		counts := e.peers.table.Counts(now)
 		for _, t := range e.targets.All() {
-			t.SetPeers(counts[t.Info.ID])
+			t.SetPeerRequests(counts[t.Info.ID])
 		}
 	})
 }
--- a/pkentry/routes.go
+++ b/pkentry/routes.go
@@ -71,7 +71,7 @@
 	r := &e.routes
 	r.mu.RLock()
 	p, found := r.plans[want]
-	fresh := r.changes == e.targets.Changes()
+	fresh := r.changes == e.targets.Generation()
 	r.mu.RUnlock()
 	if found && fresh {
 		return p
@@ -89,7 +89,7 @@
 
 // refresh drops all cached plans if the target table has changed. The caller holds r.mu.
 func (r *routeCache) refresh(t *pktarget.Table) {
-	changes := t.Changes()
+	changes := t.Generation()
 	if r.plans != nil && r.changes == changes {
 		return
 	}
@@ -144,7 +144,7 @@
 
 func hasRoom(c pkroute.Chain) bool {
 	for _, t := range c.Stages {
-		if t.Room() < 1 {
+		if t.FreeSlots() < 1 {
 			return false
 		}
 	}
--- a/pkentry/service.go
+++ b/pkentry/service.go
@@ -133,11 +133,11 @@
 			}
 		}
 		if err == io.EOF {
-			reply.Target.Succeeded()
+			reply.Target.RecordSuccess()
 			return nil
 		}
 		if err != nil {
-			reply.Target.Failed(time.Now())
+			reply.Target.RecordFailure(time.Now())
 			c.log.Warn("failed to read service response; aborting client connection", "request_id", c.requestID(), "target", reply.Target.Info.ID, "error", err)
 			panic(http.ErrAbortHandler)
 		}
--- a/pkentry/share.go
+++ b/pkentry/share.go
@@ -53,7 +53,7 @@
 // addCounts adds the changed request counts of targets and pools to s.
 func (e *Entry) addCounts(s *pkmember.Update, t *sentState) {
 	for _, target := range e.targets.All() {
-		id, n := target.Info.ID, target.Own()
+		id, n := target.Info.ID, target.OwnRequests()
 		if n != t.counts[id] {
 			t.counts[id] = n
 			s.Refs = append(s.Refs, t.refs.Ref(id, s))
@@ -80,7 +80,7 @@
 		if !e.isPoller(members, id) {
 			continue
 		}
-		r, h := target.Numbers()
+		r, h := target.Snapshot()
 		if r.MaxBatch == 0 {
 			continue
 		}
@@ -98,7 +98,7 @@
 			StepUS:    r.Step.Microseconds(),
 			PerSeqUS:  r.PerSeq.Microseconds(),
 			PrefillUS: r.Prefill.Microseconds(),
-			Leaving:   target.LeavingBy(pktarget.WitnessSelf),
+			Leaving:   target.LeavingBy(pktarget.SourceTarget),
 		}
 		if changedHolding {
 			t.holdings[id] = h
@@ -121,12 +121,12 @@
 		if !found {
 			continue
 		}
-		_, _, known := t.Reported(now)
+		_, _, known := t.LastReport(now)
 		t.Observe(pktarget.NewReport(r.Active, r.Queued, r.MaxBatch, r.StepUS, r.PerSeqUS, r.PrefillUS), now)
-		t.Leave(pktarget.WitnessSelf, r.Leaving)
-		changed := r.Holding != nil && t.Hold(*r.Holding)
+		t.SetLeaving(pktarget.SourceTarget, r.Leaving)
+		changed := r.Holding != nil && t.SetHolding(*r.Holding)
 		if changed || !known {
-			e.targets.Changed()
+			e.targets.InvalidatePlans()
 		}
 	}
 }
--- a/pkentry/targets.go
+++ b/pkentry/targets.go
@@ -80,7 +80,7 @@
 // stale reports whether a target's last report is missing or so old that the neighbor which polls it
 // may have failed.
 func stale(t *pktarget.Target, now time.Time) bool {
-	_, age, known := t.Reported(now)
+	_, age, known := t.LastReport(now)
 	return !known || age > staleAfter
 }
 
@@ -114,12 +114,12 @@
 // observe applies an engine's load report to its target.
 func (e *Entry) observe(t *pktarget.Target, l pkengine.Load, now time.Time) {
 	first := false
-	if _, _, known := t.Reported(now); !known {
+	if _, _, known := t.LastReport(now); !known {
 		first = true
 	}
 	t.Observe(pktarget.NewReport(l.Active, l.Queued, l.MaxBatch, l.StepUS, l.PerSeqUS, l.PrefillUS), now)
-	t.Leave(pktarget.WitnessSelf, l.Leaving || l.Loading)
-	changed := t.Hold(pktarget.Holding{
+	t.SetLeaving(pktarget.SourceTarget, l.Leaving || l.Loading)
+	changed := t.SetHolding(pktarget.Holding{
 		Model:    l.Model,
 		Version:  l.Version,
 		Adapters: l.Adapters,
@@ -127,6 +127,6 @@
 		Range:    pkid.Range{First: l.First, End: l.End},
 	})
 	if changed || first {
-		e.targets.Changed()
+		e.targets.InvalidatePlans()
 	}
 }
--- a/pkmeasure/state.go
+++ b/pkmeasure/state.go
@@ -71,22 +71,22 @@
 	return []Series{choose.fit(), plan.fit(), apply.fit(), size.fit(), heap.fit()}, nil
 }
 
-func makeVMList(n int) []pktarget.Listed {
+func makeVMList(n int) []pktarget.ListedTarget {
 	kinds := []pkid.Kind{"a", "b", "c", "d", "e"}
-	var out []pktarget.Listed
+	var out []pktarget.ListedTarget
 	for i := range n {
 		id := pkid.TargetID(fmt.Sprintf("model-pool-%d-%s-%d", i%4*8, kinds[i%len(kinds)], i))
-		out = append(out, pktarget.Listed{Info: pktarget.Info{ID: id, Addr: fmt.Sprintf("10.0.%d.%d:8000", i/250, i%250), Pool: "p", Kind: kinds[i%len(kinds)], DataCenter: "dc-1"}})
+		out = append(out, pktarget.ListedTarget{Info: pktarget.Info{ID: id, Addr: fmt.Sprintf("10.0.%d.%d:8000", i/250, i%250), Pool: "p", Kind: kinds[i%len(kinds)], DataCenter: "dc-1"}})
 	}
 	return out
 }
 
-func makeTable(list []pktarget.Listed, now time.Time) *pktarget.Table {
+func makeTable(list []pktarget.ListedTarget, now time.Time) *pktarget.Table {
 	t := &pktarget.Table{}
 	t.Apply(list)
 	for i, target := range t.All() {
 		first := pkid.Layer(i%4) * 8
-		target.Hold(pktarget.Holding{Model: "m", Version: "1", Range: pkid.Range{First: first, End: first + 8}})
+		target.SetHolding(pktarget.Holding{Model: "m", Version: "1", Range: pkid.Range{First: first, End: first + 8}})
 		step := time.Duration(1+i%5) * time.Millisecond
 		target.Observe(pktarget.Report{MaxBatch: 16, Step: step, PerSeq: step / 16}, now)
 	}
--- a/pkorder/plan_test.go
+++ b/pkorder/plan_test.go
@@ -27,7 +27,7 @@
 func testEngine(i int, version pkid.Version, first, end pkid.Layer) *pktarget.Target {
 	t := pktarget.NewTarget(pktarget.Info{ID: pkid.TargetID(fmt.Sprint(i)), Pool: "p"})
 	t.Observe(pktarget.Report{MaxBatch: slots, Step: time.Millisecond, PerSeq: time.Microsecond}, now)
-	t.Hold(pktarget.Holding{Model: "m", Version: version, Range: pkid.Range{First: first, End: end}})
+	t.SetHolding(pktarget.Holding{Model: "m", Version: version, Range: pkid.Range{First: first, End: end}})
 	return t
 }
 
@@ -70,7 +70,7 @@
 			}
 			for _, one := range orders {
 				r := pkid.Range{First: one.Order.First, End: one.Order.End}
-				one.Target.Hold(pktarget.Holding{Model: "m", Version: one.Order.Version, Range: r})
+				one.Target.SetHolding(pktarget.Holding{Model: "m", Version: one.Order.Version, Range: r})
 				delete(loading, one.Target.Info.ID)
 			}
 		}
--- a/pkplatform/client.go
+++ b/pkplatform/client.go
@@ -22,7 +22,7 @@
 
 // List is the response of the platform to a request for its VM list.
 type List struct {
-	VMs []pktarget.Listed `json:"vms"`
+	VMs []pktarget.ListedTarget `json:"vms"`
 }
 
 // ServiceLoad is the load report of a plain service.
@@ -33,7 +33,7 @@
 
 // VMList reads the platform's list of VMs, which can be stale.
 type VMList interface {
-	VMs(ctx context.Context) ([]pktarget.Listed, error)
+	VMs(ctx context.Context) ([]pktarget.ListedTarget, error)
 }
 
 // Client reads the VM list and service loads over HTTP.
@@ -63,7 +63,7 @@
 
 // VMs returns the platform's list, or ErrSame. The list is polled often and changes
 // rarely, so the request is conditional on the ETag of the last list.
-func (c *Client) VMs(ctx context.Context) ([]pktarget.Listed, error) {
+func (c *Client) VMs(ctx context.Context) ([]pktarget.ListedTarget, error) {
 	var out List
 	etag, err := c.read(ctx, "http://"+c.addr+PathVMs, c.etag, &out)
 	if err == nil {
--- a/pkroute/chain.go
+++ b/pkroute/chain.go
@@ -142,7 +142,7 @@
 // stageCost returns the time of a step plus the cost of queueing.
 func stageCost(t *pktarget.Target) time.Duration {
 	step := t.StepTime()
-	if queued := 1 - t.Room(); queued > 0 {
+	if queued := 1 - t.FreeSlots(); queued > 0 {
 		step += time.Duration(queued) * step / 4 * queueSteps
 	}
 	return step
--- a/pkroute/chain_test.go
+++ b/pkroute/chain_test.go
@@ -17,7 +17,7 @@
 
 func target(id string, first, end pkid.Layer, step time.Duration) *pktarget.Target {
 	t := pktarget.NewTarget(pktarget.Info{ID: pkid.TargetID(id), Pool: "p"})
-	t.Hold(pktarget.Holding{Model: "m", Version: "1", Range: pkid.Range{First: first, End: end}})
+	t.SetHolding(pktarget.Holding{Model: "m", Version: "1", Range: pkid.Range{First: first, End: end}})
 	t.Observe(pktarget.Report{MaxBatch: 16, Step: step, PerSeq: step / 16}, now)
 	return t
 }
@@ -42,9 +42,9 @@
 			tgt := target(fmt.Sprint(i), first, end, time.Millisecond)
 			switch rapid.IntRange(0, 4).Draw(t, "state") {
 			case 0:
-				tgt.Leave(pktarget.WitnessSelf, true)
+				tgt.SetLeaving(pktarget.SourceTarget, true)
 			case 1:
-				tgt.Failed(now)
+				tgt.RecordFailure(now)
 			default:
 			}
 			targets = append(targets, tgt)
@@ -81,10 +81,10 @@
 
 func TestChainMatchesVersionAndAdapter(t *testing.T) {
 	old := target("old", 0, 4, time.Microsecond)
-	old.Hold(pktarget.Holding{Model: "m", Version: "0", Range: pkid.Range{First: 0, End: 4}})
+	old.SetHolding(pktarget.Holding{Model: "m", Version: "0", Range: pkid.Range{First: 0, End: 4}})
 	plain := target("plain", 0, 4, time.Microsecond)
 	adapted := target("adapted", 0, 4, time.Second)
-	adapted.Hold(pktarget.Holding{Model: "m", Version: "1", Adapters: []pkid.AdapterID{"x"}, Range: pkid.Range{First: 0, End: 4}})
+	adapted.SetHolding(pktarget.Holding{Model: "m", Version: "1", Adapters: []pkid.AdapterID{"x"}, Range: pkid.Range{First: 0, End: 4}})
 	spec := testSpec(4)
 	spec.Adapter = "x"
 	chain, err := NewPlan(spec, []*pktarget.Target{old, plain, adapted}).Choose(testOptions(1))
--- a/pkroute/plan.go
+++ b/pkroute/plan.go
@@ -62,7 +62,7 @@
 	s := span{layers: layers, targets: targets, cumulativeRates: make([]float64, len(targets))}
 	total := 0.0
 	for i, t := range targets {
-		total += max(t.Rate(), 1)
+		total += max(t.TokenRate(), 1)
 		s.cumulativeRates[i] = total
 	}
 	return s
--- a/pkroute/policy.go
+++ b/pkroute/policy.go
@@ -51,7 +51,7 @@
 	case BestOfTwo:
 		return time.Duration(t.Load()+1) * time.Millisecond
 	case LeastConnections:
-		return time.Duration(t.Own()+1) * time.Millisecond
+		return time.Duration(t.OwnRequests()+1) * time.Millisecond
 	default:
 		return stageCost(t)
 	}
--- a/pkservice/proxy.go
+++ b/pkservice/proxy.go
@@ -96,7 +96,7 @@
 			failure.Reason = pkverdict.ReasonDeadline
 			return Reply{}, failure
 		}
-		t.Failed(time.Now())
+		t.RecordFailure(time.Now())
 		avoid = append(avoid, t.Info.ID)
 		// A partly read body cannot be replayed.
 		retry := verdict.MayRetry(c.Idempotent) && body.n.Load() == 0
--- a/pkstandin/environment.go
+++ b/pkstandin/environment.go
@@ -159,7 +159,7 @@
 func (env *World) AdminAddr() string { return env.admin.addr }
 
 func (env *World) serveVMs(rw http.ResponseWriter, r *http.Request) {
-	list := pkplatform.List{VMs: []pktarget.Listed{}}
+	list := pkplatform.List{VMs: []pktarget.ListedTarget{}}
 	if !env.emptyList.Load() {
 		list.VMs = env.listedTargets()
 	}
@@ -177,18 +177,18 @@
 	_, _ = rw.Write(raw) // the client may have disconnected
 }
 
-func (env *World) listedTargets() []pktarget.Listed {
+func (env *World) listedTargets() []pktarget.ListedTarget {
 	env.mu.Lock()
 	defer env.mu.Unlock()
-	out := []pktarget.Listed{}
+	out := []pktarget.ListedTarget{}
 	for _, id := range env.listOrder {
 		if env.removed[id] {
 			continue
 		}
 		if e, found := env.engines[id]; found {
-			out = append(out, pktarget.Listed{Info: e.info, Leaving: e.leaving.Load()})
+			out = append(out, pktarget.ListedTarget{Info: e.info, Leaving: e.leaving.Load()})
 		} else {
-			out = append(out, pktarget.Listed{Info: env.services[id].info})
+			out = append(out, pktarget.ListedTarget{Info: env.services[id].info})
 		}
 	}
 	return out
--- a/pktarget/list.go
+++ b/pktarget/list.go
@@ -2,8 +2,8 @@
 
 import "peridotknot.example/pkid"
 
-// Listed is an entry of the platform's VM list.
-type Listed struct {
+// ListedTarget is an entry of the platform's VM list.
+type ListedTarget struct {
 	Info
 	Leaving bool `json:"leaving,omitempty"`
 }
@@ -23,7 +23,7 @@
 // refuse every caller although all targets are alive. If more than half of a pool goes missing at
 // once, a target is dropped only if it is leaving or calls to it fail as well; the others stay
 // until a later list has them or they fail.
-func (t *Table) Apply(list []Listed) Change {
+func (t *Table) Apply(list []ListedTarget) Change {
 	var c Change
 	present := make(map[pkid.TargetID]bool, len(list))
 	for _, l := range list {
@@ -31,7 +31,7 @@
 		if known, found := t.Find(l.ID); !found || known.Info != l.Info {
 			c.Added++
 		}
-		t.upsert(l.Info).Leave(WitnessList, l.Leaving)
+		t.upsert(l.Info).SetLeaving(SourceVMList, l.Leaving)
 	}
 	all := t.All()
 	sizes := map[pkid.PoolID]int{}
@@ -48,7 +48,7 @@
 		}
 		pool := target.Info.Pool
 		suspicious := 2*missing[pool] > sizes[pool]
-		if suspicious && !target.Silent() && !target.Leaving() {
+		if suspicious && !target.Failing() && !target.Leaving() {
 			c.Kept++
 			continue
 		}
--- a/pktarget/table.go
+++ b/pktarget/table.go
@@ -56,11 +56,11 @@
 	return out
 }
 
-// Changes returns the generation of the table, which goes up whenever route plans become stale.
-func (t *Table) Changes() uint64 { return t.generation.Load() }
+// Generation returns the generation of the table, which goes up whenever route plans become stale.
+func (t *Table) Generation() uint64 { return t.generation.Load() }
 
-// Changed increments the generation, which marks route plans as stale.
-func (t *Table) Changed() { t.generation.Add(1) }
+// InvalidatePlans increments the generation, which marks route plans as stale.
+func (t *Table) InvalidatePlans() { t.generation.Add(1) }
 
 // upsert adds a target, or replaces it if its address or other fixed properties changed.
 func (t *Table) upsert(info Info) *Target {
@@ -75,7 +75,7 @@
 	}
 	target := NewTarget(info)
 	s.targets[info.ID] = target
-	t.Changed()
+	t.InvalidatePlans()
 	return target
 }
 
@@ -84,5 +84,5 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.targets, id)
-	t.Changed()
+	t.InvalidatePlans()
 }
--- a/pktarget/target.go
+++ b/pktarget/target.go
@@ -73,14 +73,14 @@
 	peers int64
 }
 
-// Witness is a source of the information that a target is leaving; the values are bits of a set.
-type Witness uint32
+// LeavingSource is a source of the information that a target is leaving; the values are bits of a set.
+type LeavingSource uint32
 
 // Sources that can mark a target as leaving: the VM list, the target itself and the manifest.
 const (
-	WitnessList Witness = 1 << iota
-	WitnessSelf
-	WitnessManifest
+	SourceVMList LeavingSource = 1 << iota
+	SourceTarget
+	SourceManifest
 )
 
 // NewTarget returns a target that has not reported yet.
@@ -89,8 +89,8 @@
 // Holding returns what the target has loaded; nil before its first report.
 func (t *Target) Holding() *Holding { return t.holding.Load() }
 
-// Hold records what the target has loaded and returns whether that changed.
-func (t *Target) Hold(h Holding) bool {
+// SetHolding records what the target has loaded and returns whether that changed.
+func (t *Target) SetHolding(h Holding) bool {
 	old := t.holding.Load()
 	if old != nil && old.equal(h) {
 		return false
@@ -119,9 +119,9 @@
 	t.report.Store(&reportSample{Report: r, at: now, own: t.ownRequests.Load(), peers: t.peerRequests.Load()})
 }
 
-// Numbers returns the target's last report and what it has loaded, as sent to peers; the holding
+// Snapshot returns the target's last report and what it has loaded, as sent to peers; the holding
 // is nil before the first report.
-func (t *Target) Numbers() (Report, *Holding) {
+func (t *Target) Snapshot() (Report, *Holding) {
 	s := t.report.Load()
 	if s == nil {
 		return Report{}, nil
@@ -129,8 +129,8 @@
 	return s.Report, t.holding.Load()
 }
 
-// Reported returns the last report, its age at now and whether there is one.
-func (t *Target) Reported(now time.Time) (Report, time.Duration, bool) {
+// LastReport returns the last report, its age at now and whether there is one.
+func (t *Target) LastReport(now time.Time) (Report, time.Duration, bool) {
 	s := t.report.Load()
 	if s == nil {
 		return Report{}, 0, false
@@ -144,14 +144,14 @@
 // Done counts the end of a request that Begin counted.
 func (t *Target) Done() { t.ownRequests.Add(-1) }
 
-// Own returns the number of requests that this entry has in flight on the target.
-func (t *Target) Own() int64 { return t.ownRequests.Load() }
+// OwnRequests returns the number of requests that this entry has in flight on the target.
+func (t *Target) OwnRequests() int64 { return t.ownRequests.Load() }
 
-// Peers returns the number of requests that other entries have in flight on the target.
-func (t *Target) Peers() int64 { return t.peerRequests.Load() }
+// PeerRequests returns the number of requests that other entries have in flight on the target.
+func (t *Target) PeerRequests() int64 { return t.peerRequests.Load() }
 
-// SetPeers records the number of requests that other entries have in flight on the target.
-func (t *Target) SetPeers(n int64) { t.peerRequests.Store(n) }
+// SetPeerRequests records the number of requests that other entries have in flight on the target.
+func (t *Target) SetPeerRequests(n int64) { t.peerRequests.Store(n) }
 
 // Load returns the estimated number of sequences on the target: the last report corrected by the
 // requests that started and ended since, but at least the number that the entries have in flight.
@@ -179,9 +179,9 @@
 	return max(step, s.PerSeq)
 }
 
-// Room returns how many more sequences fit into the target's batch; a negative number is the
+// FreeSlots returns how many more sequences fit into the target's batch; a negative number is the
 // length of its queue.
-func (t *Target) Room() int64 {
+func (t *Target) FreeSlots() int64 {
 	s := t.report.Load()
 	if s == nil {
 		return 0
@@ -189,8 +189,8 @@
 	return int64(s.MaxBatch) - t.Load()
 }
 
-// Rate returns the tokens per second that the target generates with a full batch; 0 if unknown.
-func (t *Target) Rate() float64 {
+// TokenRate returns the tokens per second that the target generates with a full batch; 0 if unknown.
+func (t *Target) TokenRate() float64 {
 	s := t.report.Load()
 	if s == nil || s.MaxBatch == 0 {
 		return 0
@@ -202,8 +202,8 @@
 	return float64(s.MaxBatch) / full.Seconds()
 }
 
-// Leave records whether a source says that the target is leaving.
-func (t *Target) Leave(w Witness, leaving bool) {
+// SetLeaving records whether a source says that the target is leaving.
+func (t *Target) SetLeaving(w LeavingSource, leaving bool) {
 	for {
 		old := t.leavingBy.Load()
 		next := old &^ uint32(w)
@@ -217,7 +217,7 @@
 }
 
 // LeavingBy returns whether the given source says that the target is leaving.
-func (t *Target) LeavingBy(w Witness) bool { return t.leavingBy.Load()&uint32(w) != 0 }
+func (t *Target) LeavingBy(w LeavingSource) bool { return t.leavingBy.Load()&uint32(w) != 0 }
 
 // Leaving returns whether any source says that the target is leaving.
 func (t *Target) Leaving() bool { return t.leavingBy.Load() != 0 }
@@ -227,12 +227,12 @@
 	return !t.Leaving() && !t.health.ejected(now)
 }
 
-// Failed records a call that failed at now, which ejects the target unless it is ejected already.
-func (t *Target) Failed(now time.Time) { t.health.recordFailure(now) }
+// RecordFailure records a call that failed at now, which ejects the target unless it is ejected already.
+func (t *Target) RecordFailure(now time.Time) { t.health.recordFailure(now) }
 
-// Succeeded records a successful call, which ends the ejection and resets its backoff.
-func (t *Target) Succeeded() { t.health.recordSuccess() }
+// RecordSuccess records a successful call, which ends the ejection and resets its backoff.
+func (t *Target) RecordSuccess() { t.health.recordSuccess() }
 
-// Silent returns whether calls have failed and none has succeeded since. When most of a pool is
+// Failing returns whether calls have failed and none has succeeded since. When most of a pool is
 // missing from the VM list, a target counts as lost only with this second sign.
-func (t *Target) Silent() bool { return t.health.failures.Load() > 0 }
+func (t *Target) Failing() bool { return t.health.failures.Load() > 0 }
--- a/pktarget/target_test.go
+++ b/pktarget/target_test.go
@@ -12,10 +12,10 @@
 
 var start = time.Unix(1000, 0)
 
-func list(ids ...string) []Listed {
-	var out []Listed
+func list(ids ...string) []ListedTarget {
+	var out []ListedTarget
 	for _, id := range ids {
-		out = append(out, Listed{Info: Info{ID: pkid.TargetID(id), Pool: "p", Addr: id}})
+		out = append(out, ListedTarget{Info: Info{ID: pkid.TargetID(id), Pool: "p", Addr: id}})
 	}
 	return out
 }
@@ -24,7 +24,7 @@
 // most of a pool is missing, only targets whose calls fail may be dropped.
 func TestApplyKeepsPoolMissingFromList(t *testing.T) {
 	cases := map[string]struct {
-		next    []Listed
+		next    []ListedTarget
 		failing []pkid.TargetID
 		left    int
 		kept    int
@@ -43,7 +43,7 @@
 			table.Apply(list("a", "b", "c", "d"))
 			for _, id := range c.failing {
 				target, _ := table.Find(id)
-				target.Failed(start)
+				target.RecordFailure(start)
 			}
 			change := table.Apply(c.next)
 			assert.Equal(t, len(table.All()), c.left)
@@ -61,60 +61,60 @@
 	assert.Equal(t, target.Load(), int64(1))
 	target.Begin()
 	target.Begin()
-	target.SetPeers(5)
+	target.SetPeerRequests(5)
 	assert.Equal(t, target.Load(), int64(8))
-	assert.Equal(t, target.Room(), int64(-4))
+	assert.Equal(t, target.FreeSlots(), int64(-4))
 	assert.Equal(t, target.StepTime(), 18*time.Millisecond)
 	target.Done()
 	target.Done()
-	target.SetPeers(0)
+	target.SetPeerRequests(0)
 	assert.Equal(t, target.Load(), int64(1))
 }
 
 func TestEjectionDoublesAndResets(t *testing.T) {
 	target := NewTarget(Info{})
-	target.Failed(start)
+	target.RecordFailure(start)
 	for range 10 {
-		target.Failed(start) // all streams of the target fail at once
+		target.RecordFailure(start) // all streams of the target fail at once
 	}
 	assert.Assert(t, !target.Usable(start.Add(499*time.Millisecond)))
 	assert.Assert(t, target.Usable(start.Add(500*time.Millisecond)))
 	again := start.Add(time.Second)
-	target.Failed(again)
+	target.RecordFailure(again)
 	assert.Assert(t, !target.Usable(again.Add(999*time.Millisecond)))
-	target.Succeeded()
+	target.RecordSuccess()
 	assert.Assert(t, target.Usable(again))
 }
 
 func TestOneSourceMarksTargetAsLeaving(t *testing.T) {
 	target := NewTarget(Info{})
-	target.Leave(WitnessSelf, true)
-	target.Leave(WitnessList, true)
-	target.Leave(WitnessList, false)
+	target.SetLeaving(SourceTarget, true)
+	target.SetLeaving(SourceVMList, true)
+	target.SetLeaving(SourceVMList, false)
 	assert.Assert(t, !target.Usable(start))
-	target.Leave(WitnessSelf, false)
+	target.SetLeaving(SourceTarget, false)
 	assert.Assert(t, target.Usable(start))
 }
 
 func TestApplyReplacesMovedTarget(t *testing.T) {
 	var table Table
 	table.Apply(list("a"))
-	before := table.Changes()
+	before := table.Generation()
 	moved := list("a")
 	moved[0].Addr = "elsewhere"
 	table.Apply(moved)
 	target, _ := table.Find("a")
 	assert.Equal(t, target.Info.Addr, "elsewhere")
-	assert.Assert(t, table.Changes() > before)
+	assert.Assert(t, table.Generation() > before)
 }
 
 func BenchmarkApply(b *testing.B) {
 	for _, n := range []int{100, 1000, 4500} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var table Table
-			var all []Listed
+			var all []ListedTarget
 			for i := range n {
-				all = append(all, Listed{Info: Info{ID: pkid.TargetID(fmt.Sprint(i)), Pool: "p"}})
+				all = append(all, ListedTarget{Info: Info{ID: pkid.TargetID(fmt.Sprint(i)), Pool: "p"}})
 			}
 			for b.Loop() {
 				table.Apply(all)
