--- a/pkedge/attempt.go
+++ b/pkedge/attempt.go
@@ -67,7 +67,7 @@
 		canRetry:   c.route.Repeatable() && c.runs+1 < c.route.MaxAttempts,
 		drainDelay: drainDelayMin + rand.N(drainDelayMax-drainDelayMin),
 	}
-	p.reserve(now, s.Engine, &c.pipes, a.tokens, float64(c.req.Ask.PromptTokens), c.gossip.reportDelay())
+	p.reserve(now, s.Engine, &c.pipes, a.tokens, float64(c.req.Meta.PromptTokens), c.gossip.reportDelay())
 	c.streams.add(a)
 	return a
 }
--- a/pkedge/call.go
+++ b/pkedge/call.go
@@ -88,7 +88,7 @@
 		name, kind = c.route.Name, c.route.Kind.String()
 	}
 	c.metrics.requests.WithLabelValues(kind, outcome).Inc()
-	c.log.Info("request", "request_id", c.req.Ask.ID, "digest", c.digest.String(), "route", name, "kind", kind, "account", c.account,
+	c.log.Info("request", "request_id", c.req.Meta.ID, "digest", c.digest.String(), "route", name, "kind", kind, "account", c.account,
 		"outcome", outcome, "sends", c.sends, "runs", c.runs, "ms", took.Milliseconds(), "config", c.version(), "path", c.path, "first_ms", c.firstEvent.Milliseconds(), "events", c.events, "pause_ms", c.longestPause.Milliseconds(),
 		"mended", c.reroutes, "error", err)
 	switch {
@@ -114,8 +114,8 @@
 	if rej.retryAfter > 0 {
 		h["Retry-After"] = []string{strconv.FormatFloat(rej.retryAfter.Seconds(), 'f', -1, 64)}
 	}
-	if c.req.Ask.ID != "" {
-		c.Dialect.Mark(h, c.req.Ask.ID)
+	if c.req.Meta.ID != "" {
+		c.Dialect.SetRequestID(h, c.req.Meta.ID)
 	}
 	h["Content-Length"] = []string{"0"}
 	c.w.WriteHeader(rej.status)
@@ -135,13 +135,13 @@
 	}
 	c.route = route
 	if c.table.Keyed() && !route.Public {
-		account, found := c.table.Account(c.req.Ask.Key)
+		account, found := c.table.Account(c.req.Meta.APIKey)
 		if !found {
 			return &rejection{status: http.StatusUnauthorized, reason: "unknown_key"}
 		}
 		c.account = account.ID
 	}
-	c.service = chooseService(route, c.req.Ask.ID)
+	c.service = chooseService(route, c.req.Meta.ID)
 	return nil
 }
 
@@ -203,7 +203,7 @@
 	case late:
 		return &rejection{status: http.StatusGatewayTimeout, reason: "deadline"}
 	default:
-		c.log.Warn("request failed at its targets", "request_id", c.req.Ask.ID, "error", cause)
+		c.log.Warn("request failed at its targets", "request_id", c.req.Meta.ID, "error", cause)
 		return &rejection{status: http.StatusBadGateway, reason: "target_lost"}
 	}
 }
--- a/pkedge/callerserver.go
+++ b/pkedge/callerserver.go
@@ -111,12 +111,12 @@
 	if c.table == nil {
 		return &rejection{status: http.StatusServiceUnavailable, retryAfter: time.Second, reason: "no_configuration"}
 	}
-	c.req.Ask = c.Dialect.Ask(c.r.Header)
+	c.req.Meta = c.Dialect.ParseRequest(c.r.Header)
 	if err := c.resolve(); err != nil {
 		return err
 	}
 	c.deadline = c.began.Add(defaultTimeout)
-	for _, limit := range []time.Duration{c.route.Timeout, c.req.Ask.Left} {
+	for _, limit := range []time.Duration{c.route.Timeout, c.req.Meta.TimeBudget} {
 		if limit > 0 && c.began.Add(limit).Before(c.deadline) {
 			c.deadline = c.began.Add(limit)
 		}
--- a/pkedge/plain.go
+++ b/pkedge/plain.go
@@ -100,7 +100,7 @@
 		return false
 	}
 	if !c.chargeRetry() {
-		c.log.Warn("retry budget is spent", "request_id", c.req.Ask.ID, "service", c.service, "entries", c.entryCount(time.Now()))
+		c.log.Warn("retry budget is spent", "request_id", c.req.Meta.ID, "service", c.service, "entries", c.entryCount(time.Now()))
 		return false
 	}
 	return true
@@ -132,7 +132,7 @@
 	}
 	c.countFailure(failure)
 	c.metrics.failed.WithLabelValues(failure.Verdict.String(), string(failure.Reason)).Inc()
-	c.log.Info("a send failed", "request_id", c.req.Ask.ID, "digest", c.digest.String(), "target", t.ID, "send", c.sends,
+	c.log.Info("a send failed", "request_id", c.req.Meta.ID, "digest", c.digest.String(), "target", t.ID, "send", c.sends,
 		"verdict", failure.Verdict.String(), "reason", string(failure.Reason), "error", failure.Err)
 	return failure.Verdict
 }
@@ -152,7 +152,7 @@
 
 // sendTo sends the call to one target and reads the complete answer. An answer that is returned
 // together with an error is an error answer of the target.
-func (c *call) sendTo(ctx context.Context, t *pkreplica.Target) (*pkforward.Answer, []byte, error) {
+func (c *call) sendTo(ctx context.Context, t *pkreplica.Target) (*pkforward.Response, []byte, error) {
 	began := time.Now()
 	left := c.deadline.Sub(began)
 	if c.route.Repeatable() && c.runs+1 < c.route.MaxAttempts {
@@ -162,7 +162,7 @@
 	}
 	t.Begin(began, 0, 0, 0)
 	defer t.Done(0)
-	a, err := c.Sender.Do(ctx, t.Addr, &c.req, pkforward.Send{Left: left, Target: t.ID, Account: c.account})
+	a, err := c.Sender.Do(ctx, t.Addr, &c.req, pkforward.SendOptions{TimeBudget: left, Target: t.ID, Account: c.account})
 	if a != nil && a.Load >= 0 {
 		t.RecordReport(time.Now(), a.Load)
 	}
@@ -171,7 +171,7 @@
 		return nil, nil, err
 	}
 	defer a.Close()
-	body, err := a.ReadWhole(maxBufferedAnswer)
+	body, err := a.ReadAll(maxBufferedAnswer)
 	if err != nil {
 		t.RecordFailure(time.Now())
 		return nil, nil, err
@@ -196,7 +196,7 @@
 
 // recordTargetFailure backs off from a target after a failed send or records it as slow. It does
 // nothing if the caller has left.
-func (c *call) recordTargetFailure(t *pkreplica.Target, began time.Time, a *pkforward.Answer, err error) {
+func (c *call) recordTargetFailure(t *pkreplica.Target, began time.Time, a *pkforward.Response, err error) {
 	now := time.Now()
 	switch {
 	case c.r.Context().Err() != nil:
@@ -210,7 +210,7 @@
 		t.RecordSlow(now.Sub(began))
 	default:
 		until := c.avoidFailed(now, t, err)
-		c.log.Info("target avoided after a failed send", "target", t.ID, "request_id", c.req.Ask.ID, "for_ms", until.Sub(now).Milliseconds(), "error", err)
+		c.log.Info("target avoided after a failed send", "target", t.ID, "request_id", c.req.Meta.ID, "for_ms", until.Sub(now).Milliseconds(), "error", err)
 	}
 }
 
@@ -231,9 +231,9 @@
 const misdirectedTTL = 5 * time.Second
 
 // forward sends a complete answer of a target to the caller.
-func (c *call) forward(a *pkforward.Answer, body []byte) error {
+func (c *call) forward(a *pkforward.Response, body []byte) error {
 	h := c.w.Header()
-	pkforward.Forward(h, a.Header)
+	pkforward.CopyHeaders(h, a.Header)
 	h["Content-Length"] = []string{strconv.Itoa(len(body))}
 	c.headSent = true
 	c.w.WriteHeader(a.Status)
--- a/pkedge/quarantine.go
+++ b/pkedge/quarantine.go
@@ -117,14 +117,14 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.interrupted) < maxInterrupted {
-		q.interrupted = append(q.interrupted, interruptedSend{digest: c.digest, request: c.req.Ask.ID, target: t, endedAt: now, direct: direct})
+		q.interrupted = append(q.interrupted, interruptedSend{digest: c.digest, request: c.req.Meta.ID, target: t, endedAt: now, direct: direct})
 	}
 }
 
 // recordSuccess records at now that replicas can run the request, which clears its crashes.
 func (c *call) recordSuccess(now time.Time) {
 	if c.quarantine.table.RecordSuccess(now, c.digest) {
-		c.log.Info("suspected request completed, its crashes are cleared", "request_id", c.req.Ask.ID, "digest", c.digest.String())
+		c.log.Info("suspected request completed, its crashes are cleared", "request_id", c.req.Meta.ID, "digest", c.digest.String())
 	}
 }
 
--- a/pkedge/quarantine_test.go
+++ b/pkedge/quarantine_test.go
@@ -22,7 +22,7 @@
 // newCall returns a request with a digest at an entry.
 func newCall(d *Daemon, digest pkquarantine.Digest) *call {
 	c := &call{Daemon: d, r: httptest.NewRequest(http.MethodPost, "/", nil), digest: digest}
-	c.req.Ask.ID = "r-1"
+	c.req.Meta.ID = "r-1"
 	return c
 }
 
--- a/pkedge/refusal.go
+++ b/pkedge/refusal.go
@@ -31,7 +31,7 @@
 //
 // Without the check, a dead or draining engine stays in the list while the store is unavailable,
 // and the entries spend their retry budgets on finding it again after each backoff.
-func (d *Daemon) queueRefusedEngine(now time.Time, a *attempt, t *pkreplica.Target, answer *pkforward.Answer) {
+func (d *Daemon) queueRefusedEngine(now time.Time, a *attempt, t *pkreplica.Target, answer *pkforward.Response) {
 	refused := answer != nil && answer.Status == http.StatusServiceUnavailable
 	if !refused || t == a.currentPath().first() || t.Excluded(now) || !t.AllowProbe(now, livenessInterval) {
 		return
--- a/pkedge/refusal_test.go
+++ b/pkedge/refusal_test.go
@@ -59,7 +59,7 @@
 			d.Engines = engines
 			d.refusedEngines = make(chan refusedEngine, maxRefusedEngines)
 			a := attemptOver(t, d, s, "a", "b")
-			answer := &pkforward.Answer{Status: http.StatusServiceUnavailable, Head: pkforward.Head{NotRun: true, Fault: row.fault}}
+			answer := &pkforward.Response{Status: http.StatusServiceUnavailable, ResponseMeta: pkforward.ResponseMeta{NotRun: true, FaultAddr: row.fault}}
 			refusal := &pkverdict.Error{Verdict: pkverdict.NotRun, Reason: pkverdict.ReasonRefused, Err: errors.New("status 503")}
 			for range 3 {
 				a.call.recordPathFailure(t.Context(), a, answer, refusal)
@@ -82,7 +82,7 @@
 func TestDrainingEngineIsAvoidedDuringStoreOutage(t *testing.T) {
 	// longest exceeds the backoff after five failures.
 	const longest = 4500 * time.Millisecond
-	refusal := &pkforward.Answer{Status: http.StatusServiceUnavailable, Head: pkforward.Head{NotRun: true, Fault: "b"}}
+	refusal := &pkforward.Response{Status: http.StatusServiceUnavailable, ResponseMeta: pkforward.ResponseMeta{NotRun: true, FaultAddr: "b"}}
 	failure := &pkverdict.Error{Verdict: pkverdict.NotRun, Reason: pkverdict.ReasonRefused, Err: errors.New("status 503")}
 	for _, row := range []struct {
 		name        string
--- a/pkedge/reroute.go
+++ b/pkedge/reroute.go
@@ -130,13 +130,13 @@
 	switch {
 	case inPlace && d.repath(ctx, a, t, reason, by):
 	case a.canRetry && d.reserveRetry(a, reason):
-		d.log.Info("a stream goes on by another attempt", "request_id", a.call.req.Ask.ID, "target", t.ID, "why", reason)
+		d.log.Info("a stream goes on by another attempt", "request_id", a.call.req.Meta.ID, "target", t.ID, "why", reason)
 		a.cancel(errRerouted)
 	case a.canRetry && reason == reasonLeaving:
 		a.keepPath()
 	case found && !inPlace && d.repath(ctx, a, t, reason, by):
 	default:
-		d.log.Info("no alternative path for a stream", "request_id", a.call.req.Ask.ID, "target", t.ID, "why", reason, "detour", found)
+		d.log.Info("no alternative path for a stream", "request_id", a.call.req.Meta.ID, "target", t.ID, "why", reason, "detour", found)
 		a.deferReroute(now)
 	}
 }
@@ -186,10 +186,10 @@
 	by.reserve(time.Now(), a.service.Engine, &d.pipes, a.tokens, a.tokens, d.gossip.reportDelay())
 	next := old.withReplaced(at, by)
 	order, cancel := context.WithTimeout(ctx, repathTimeout)
-	outcome, err := d.Engines.Repath(order, old.first().Addr, a.call.req.Ask.ID, next.hops)
+	outcome, err := d.Engines.Repath(order, old.first().Addr, a.call.req.Meta.ID, next.hops)
 	cancel()
 	done := outcome == pkowner.Begun || outcome == pkowner.Done
-	d.log.Info("a stream changes its path", "request_id", a.call.req.Ask.ID, "target", t.ID, "why", reason, "events", a.eventCount(),
+	d.log.Info("a stream changes its path", "request_id", a.call.req.Meta.ID, "target", t.ID, "why", reason, "events", a.eventCount(),
 		"outcome", outcome.String(), "path", next.String(), "error", err)
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/pkedge/reroute_test.go
+++ b/pkedge/reroute_test.go
@@ -56,7 +56,7 @@
 func attemptOver(t *testing.T, d *Daemon, s *pkconfig.Service, ids ...pkid.TargetID) *attempt {
 	t.Helper()
 	c := &call{Daemon: d, r: httptest.NewRequest(http.MethodPost, "/", nil), route: &pkconfig.Route{Name: "talk", Kind: pkconfig.Stream, Resumable: true, MaxAttempts: 2}}
-	c.req = pkforward.Request{Ask: pkforward.Ask{ID: "r-1", PromptTokens: 772}}
+	c.req = pkforward.Request{Meta: pkforward.RequestMeta{ID: "r-1", PromptTokens: 772}}
 	var p targetPath
 	for _, id := range ids {
 		one, found := d.roster.Target(id)
--- a/pkedge/stream.go
+++ b/pkedge/stream.go
@@ -94,7 +94,7 @@
 		c.tried = append(c.tried, p.first().ID)
 	}
 	c.metrics.failed.WithLabelValues(failure.Verdict.String(), string(failure.Reason)).Inc()
-	c.log.Info("a send failed", "request_id", c.req.Ask.ID, "digest", c.digest.String(), "path", p.String(), "send", c.sends, "events", state.events,
+	c.log.Info("a send failed", "request_id", c.req.Meta.ID, "digest", c.digest.String(), "path", p.String(), "send", c.sends, "events", state.events,
 		"verdict", failure.Verdict.String(), "reason", string(failure.Reason), "error", failure.Err)
 	return failure.Verdict
 }
@@ -158,7 +158,7 @@
 	if p, found := c.findPath(now, s, q); found {
 		return p, nil
 	}
-	c.logShortage(now, c.req.Ask.ID, s, q)
+	c.logShortage(now, c.req.Meta.ID, s, q)
 	return targetPath{}, errNoCapacity
 }
 
@@ -188,14 +188,14 @@
 	if m == nil {
 		return 0
 	}
-	answer := c.req.Ask.LikelyTokens
+	answer := c.req.Meta.ExpectedTokens
 	if answer == 0 {
 		answer = m.AnswerTokens
 	}
-	if most := c.req.Ask.MostTokens; most > 0 {
+	if most := c.req.Meta.MaxTokens; most > 0 {
 		answer = min(answer, most)
 	}
-	return float64(c.req.Ask.PromptTokens + answer)
+	return float64(c.req.Meta.PromptTokens + answer)
 }
 
 // attempt sends the request over one path and forwards the events of the answer.
@@ -211,7 +211,7 @@
 	}()
 	watch := c.startWatchdog(ctx, a)
 	defer watch.stop()
-	send := pkforward.Send{Left: c.deadline.Sub(a.began), Target: p.first().ID, Account: c.account, Path: p.hops, LastEvent: state.lastEventID}
+	send := pkforward.SendOptions{TimeBudget: c.deadline.Sub(a.began), Target: p.first().ID, Account: c.account, Path: p.hops, LastEventID: state.lastEventID}
 	answer, err := c.Sender.Do(ctx, p.first().Addr, &c.req, send)
 	if err != nil {
 		c.recordPathFailure(ctx, a, answer, err)
@@ -219,7 +219,7 @@
 	}
 	defer answer.Close()
 	if answer.Status/100 != 2 {
-		body, err := answer.ReadWhole(maxBufferedAnswer)
+		body, err := answer.ReadAll(maxBufferedAnswer)
 		if err != nil {
 			return err
 		}
@@ -235,8 +235,8 @@
 }
 
 // forwardEvents forwards complete events to the caller as they arrive.
-func (c *call) forwardEvents(ctx context.Context, a *attempt, answer *pkforward.Answer, state *streamState, watch *watchdog) error {
-	events := pkforward.NewEvents(answer.Body)
+func (c *call) forwardEvents(ctx context.Context, a *attempt, answer *pkforward.Response, state *streamState, watch *watchdog) error {
+	events := pkforward.NewEventReader(answer.Body)
 	control := http.NewResponseController(c.w)
 	for {
 		ev, err := events.Next()
@@ -255,7 +255,7 @@
 			c.metrics.firstEvent.Observe(c.firstEvent.Seconds())
 			// Headers are copied only now: if the attempt failed before its first event, they
 			// would put the target's signature on an error answer of the router.
-			pkforward.Forward(c.w.Header(), answer.Header)
+			pkforward.CopyHeaders(c.w.Header(), answer.Header)
 			delete(c.w.Header(), "Content-Length")
 			c.w.WriteHeader(answer.Status)
 		}
@@ -272,7 +272,7 @@
 			c.longestPause = max(c.longestPause, now.Sub(c.lastEventAt))
 		}
 		c.lastEventAt = now
-		if !events.Ready() {
+		if !events.Buffered() {
 			if err := control.Flush(); err != nil {
 				return errCallerLeft
 			}
@@ -285,7 +285,7 @@
 }
 
 // endStream ends the caller's answer as complete. An answer without any event counts as broken off.
-func (c *call) endStream(answer *pkforward.Answer, state *streamState) error {
+func (c *call) endStream(answer *pkforward.Response, state *streamState) error {
 	if state.events == 0 {
 		return &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: io.ErrUnexpectedEOF}
 	}
@@ -295,15 +295,15 @@
 
 // recordPathFailure avoids the target that caused a failed send: the one named in the answer, or
 // the first of the path.
-func (c *call) recordPathFailure(ctx context.Context, a *attempt, answer *pkforward.Answer, err error) {
+func (c *call) recordPathFailure(ctx context.Context, a *attempt, answer *pkforward.Response, err error) {
 	now := time.Now()
 	if c.r.Context().Err() != nil || errors.Is(context.Cause(ctx), errPathSilent) || errors.Is(context.Cause(ctx), errRerouted) {
 		return
 	}
 	fault := a.currentPath().first()
-	if answer != nil && answer.Fault != "" {
+	if answer != nil && answer.FaultAddr != "" {
 		for _, t := range a.currentPath().targets {
-			if t.Addr == answer.Fault {
+			if t.Addr == answer.FaultAddr {
 				fault = t
 			}
 		}
@@ -315,6 +315,6 @@
 		until = c.avoidFailed(now, fault, err)
 		c.queueRefusedEngine(now, a, fault, answer)
 	}
-	c.log.Info("target avoided after a failed send", "target", fault.ID, "request_id", c.req.Ask.ID, "path", a.currentPath().String(),
+	c.log.Info("target avoided after a failed send", "target", fault.ID, "request_id", c.req.Meta.ID, "path", a.currentPath().String(),
 		"for_ms", until.Sub(now).Milliseconds(), "error", err)
 }
--- a/pkedge/watchdog.go
+++ b/pkedge/watchdog.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		if c.r.Context().Err() == nil {
 			c.suspect(first, now.Add(suspectTTL), err)
-			c.log.Info("unresponsive engine suspected", "target", first.ID, "request_id", c.req.Ask.ID, "error", err)
+			c.log.Info("unresponsive engine suspected", "target", first.ID, "request_id", c.req.Meta.ID, "error", err)
 		}
 		return true
 	}
@@ -93,7 +93,7 @@
 			if t.Addr != one.Addr {
 				continue
 			}
-			found = found || one.ID == c.req.Ask.ID
+			found = found || one.ID == c.req.Meta.ID
 			if !t.IsDead(now) {
 				c.log.Info("stalled engine suspected", "target", t.ID, "request_id", one.ID)
 			}
--- a/pkentry/service.go
+++ b/pkentry/service.go
@@ -113,7 +113,7 @@
 // its end, it aborts the client's connection, because a cleanly ended body would look complete.
 func (c *call) copyResponse(reply pkservice.Reply) error {
 	resp := reply.Response
-	pkforward.Forward(c.w.Header(), resp.Header)
+	pkforward.CopyHeaders(c.w.Header(), resp.Header)
 	c.w.Header().Set(pkopenai.HeaderRequestID, c.requestID())
 	// Only the router sets the verdict header.
 	c.w.Header().Del(pkopenai.HeaderVerdict)
--- a/pkforward/events.go
+++ b/pkforward/events.go
@@ -22,22 +22,22 @@
 	ID string
 }
 
-// Events reads complete events from a stream of server-sent events. A target can fail in the middle
+// EventReader reads complete events from a stream of server-sent events. A target can fail in the middle
 // of an event, and the partial event must not be forwarded.
-type Events struct {
+type EventReader struct {
 	in  *bufio.Reader
 	raw []byte
 }
 
-// NewEvents returns a reader of the events in r.
-func NewEvents(r io.Reader) *Events {
+// NewEventReader returns a reader of the events in r.
+func NewEventReader(r io.Reader) *EventReader {
 	const size = 4 << 10
-	return &Events{in: bufio.NewReaderSize(r, size)}
+	return &EventReader{in: bufio.NewReaderSize(r, size)}
 }
 
 // Next returns the next event. The error is io.EOF if the stream ended between events and
 // io.ErrUnexpectedEOF if it ended within one.
-func (e *Events) Next() (Event, error) {
+func (e *EventReader) Next() (Event, error) {
 	e.raw = e.raw[:0]
 	var ev Event
 	for {
@@ -65,5 +65,5 @@
 	}
 }
 
-// Ready returns whether more of the stream is buffered already.
-func (e *Events) Ready() bool { return e.in.Buffered() > 0 }
+// Buffered returns whether more of the stream is buffered already.
+func (e *EventReader) Buffered() bool { return e.in.Buffered() > 0 }
--- a/pkforward/events_test.go
+++ b/pkforward/events_test.go
@@ -11,7 +11,7 @@
 )
 
 func readAll(r io.Reader) (whole, lastID string, err error) {
-	e := NewEvents(r)
+	e := NewEventReader(r)
 	for {
 		ev, err := e.Next()
 		if err != nil {
--- a/pkforward/sender.go
+++ b/pkforward/sender.go
@@ -17,7 +17,7 @@
 
 // Request is a caller's request with its complete body.
 type Request struct {
-	Ask    Ask
+	Meta   RequestMeta
 	Method string
 	Host   string
 	// URI is the path and query as received from the caller.
@@ -43,9 +43,9 @@
 	return nil
 }
 
-// Answer is the head of a target's response, with the body still to be read; Close must be called.
-type Answer struct {
-	Head
+// Response is the head of a target's response, with the body still to be read; Close must be called.
+type Response struct {
+	ResponseMeta
 	Status int
 	Header http.Header
 	Body   io.Reader
@@ -57,7 +57,7 @@
 }
 
 // Close ends the exchange. If the body was not read to its end, the connection is closed as well.
-func (a *Answer) Close() { _ = a.resp.Body.Close() }
+func (a *Response) Close() { _ = a.resp.Body.Close() }
 
 // errWrongRequest is the cause of the error for a response that names another request.
 var errWrongRequest = errors.New("response has the id of another request")
@@ -65,7 +65,7 @@
 // Do sends a request to the target at addr and returns the head of its response. The error is a
 // *pkverdict.Error. If the response says that the request did not run, Do returns both the head and
 // an error with the reason pkverdict.ReasonRefused.
-func (s *Sender) Do(ctx context.Context, addr string, r *Request, out Send) (*Answer, error) {
+func (s *Sender) Do(ctx context.Context, addr string, r *Request, out SendOptions) (*Response, error) {
 	var tracker pkconn.Tracker
 	req, err := s.request(tracker.Trace(ctx), addr, r, out)
 	if err != nil {
@@ -80,12 +80,12 @@
 		}
 		return nil, &pkverdict.Error{Verdict: pkverdict.Decide(progress), Reason: reason, Err: err}
 	}
-	a := &Answer{
-		Head:   s.dialect.Head(resp.StatusCode, resp.Header),
-		Status: resp.StatusCode, Header: resp.Header, Body: resp.Body, Length: resp.ContentLength,
+	a := &Response{
+		ResponseMeta: s.dialect.ParseResponse(resp.StatusCode, resp.Header),
+		Status:       resp.StatusCode, Header: resp.Header, Body: resp.Body, Length: resp.ContentLength,
 		resp: resp, conn: tracker.Conn(),
 	}
-	if a.ID != r.Ask.ID {
+	if a.ID != r.Meta.ID {
 		// A surplus response of a target is read as the response to the next request on the
 		// connection. Accepting it would give one caller the response of another.
 		a.closeConn()
@@ -100,7 +100,7 @@
 
 // closeConn closes the connection of a response, even if the body is empty and the connection is
 // back in the pool already.
-func (a *Answer) closeConn() {
+func (a *Response) closeConn() {
 	if a.conn != nil {
 		_ = a.conn.Close()
 	}
@@ -108,13 +108,13 @@
 }
 
 // drain reads a short response to its end, so that its connection can be reused.
-func (a *Answer) drain() {
+func (a *Response) drain() {
 	const limit = 4 << 10
 	_, _ = io.CopyN(io.Discard, a.Body, limit)
 	a.Close()
 }
 
-func (s *Sender) request(ctx context.Context, addr string, r *Request, out Send) (*http.Request, error) {
+func (s *Sender) request(ctx context.Context, addr string, r *Request, out SendOptions) (*http.Request, error) {
 	u, err := targetURL(addr, r.URI)
 	if err != nil {
 		return nil, err
@@ -135,12 +135,12 @@
 	if len(r.Body) == 0 {
 		req.ContentLength = -1
 	}
-	Forward(req.Header, r.Header)
+	CopyHeaders(req.Header, r.Header)
 	if _, given := r.Header["User-Agent"]; !given {
 		// Keeps net/http from adding its default.
 		req.Header["User-Agent"] = []string{""}
 	}
-	s.dialect.Dress(req.Header, out)
+	s.dialect.SetHeaders(req.Header, out)
 	return req.WithContext(ctx), nil
 }
 
@@ -165,8 +165,8 @@
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 }
 
-// Forward copies all headers except hop-by-hop headers and those that Connection names.
-func Forward(to, from http.Header) {
+// CopyHeaders copies all headers except hop-by-hop headers and those that Connection names.
+func CopyHeaders(to, from http.Header) {
 	var connHeaders map[string]bool
 	for _, line := range from["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
@@ -183,9 +183,9 @@
 	}
 }
 
-// ReadWhole reads a body of at most limit bytes; the error is a *pkverdict.Error with the verdict
+// ReadAll reads a body of at most limit bytes; the error is a *pkverdict.Error with the verdict
 // that the request may have run.
-func (a *Answer) ReadWhole(limit int64) ([]byte, error) {
+func (a *Response) ReadAll(limit int64) ([]byte, error) {
 	var body []byte
 	var err error
 	if a.Length >= 0 && a.Length <= limit {
--- a/pkforward/sender_test.go
+++ b/pkforward/sender_test.go
@@ -13,6 +13,6 @@
 		"Te": {"trailers"}, "Upgrade": {"h2c"}, "Content-Type": {"text/plain"}, "X-Two": {"a", "b"},
 	}
 	to := http.Header{}
-	Forward(to, from)
+	CopyHeaders(to, from)
 	assert.DeepEqual(t, to, http.Header{"Content-Type": {"text/plain"}, "X-Two": {"a", "b"}})
 }
--- a/pkservice/proxy.go
+++ b/pkservice/proxy.go
@@ -119,7 +119,7 @@
 		// no body it then probes for a first byte, and sends no body if there is none.
 		req.ContentLength = -1
 	}
-	pkforward.Forward(req.Header, c.Header)
+	pkforward.CopyHeaders(req.Header, c.Header)
 	t.Begin()
 	resp, err := p.http.Do(req)
 	if err == nil {
