--- a/pkanswer/run.go
+++ b/pkanswer/run.go
@@ -23,7 +23,7 @@
 	ID pkid.RequestID
 	// Digest is the same for requests that differ only in their ids; zero if unknown.
 	Digest       pkquarantine.Digest
-	Want         pkroute.ChainSpec
+	Spec         pkroute.ChainSpec
 	Prompt       string
 	PromptTokens pkid.Tokens
 	MaxTokens    pkid.Tokens
@@ -31,12 +31,12 @@
 	Deadline     time.Time
 }
 
-// Finish is the result of an answer: its finish reason, empty if it failed, the tokens delivered
+// Result is the result of an answer: its finish reason, empty if it failed, the tokens delivered
 // and the attempts made.
-type Finish struct {
-	Reason   string
-	Tokens   pkid.Tokens
-	Attempts int
+type Result struct {
+	FinishReason string
+	Tokens       pkid.Tokens
+	Attempts     int
 }
 
 // Sink receives the tokens of an answer in order; an error means that the caller has disconnected.
@@ -49,13 +49,13 @@
 	Choose(now time.Time, want pkroute.ChainSpec, avoid []pkid.TargetID) (pkroute.Chain, error)
 }
 
-// Budget limits retries; Spend takes one from it and returns false if there is none left.
-type Budget interface {
+// RetryBudget limits retries; Spend takes one from it and returns false if there is none left.
+type RetryBudget interface {
 	Spend() bool
 }
 
-// Watcher observes the attempts of an answer; its methods are called from the goroutine of Run.
-type Watcher interface {
+// Observer observes the attempts of an answer; its methods are called from the goroutine of Run.
+type Observer interface {
 	// AttemptBegan is called before an attempt and returns the context to run it in.
 	AttemptBegan(ctx context.Context, attempt pkid.Attempt, chain pkroute.Chain) context.Context
 	// AttemptEnded is called after an attempt; err is nil if the answer is complete.
@@ -64,17 +64,17 @@
 
 // Options limits the recovery of an answer.
 type Options struct {
-	// Attempts is the maximum number of attempts for an answer.
-	Attempts int
-	// Patience is how long an answer in progress waits for a usable chain.
-	Patience time.Duration
-	// Poll is the interval at which it tries to choose a chain again.
-	Poll time.Duration
+	// MaxAttempts is the maximum number of attempts for an answer.
+	MaxAttempts int
+	// ChainTimeout is how long an answer in progress waits for a usable chain.
+	ChainTimeout time.Duration
+	// PollInterval is the interval at which it tries to choose a chain again.
+	PollInterval time.Duration
 }
 
 // DefaultOptions returns limits for links within one region.
 func DefaultOptions() Options {
-	return Options{Attempts: 6, Patience: 2 * time.Second, Poll: 25 * time.Millisecond}
+	return Options{MaxAttempts: 6, ChainTimeout: 2 * time.Second, PollInterval: 25 * time.Millisecond}
 }
 
 // Runner runs answers; it is safe for concurrent use.
@@ -93,8 +93,8 @@
 	*Runner
 	req       Request
 	sink      Sink
-	watcher   Watcher
-	budget    Budget
+	watcher   Observer
+	budget    RetryBudget
 	relay     pkstream.Relay
 	delivered strings.Builder
 	avoid     []pkid.TargetID
@@ -127,7 +127,7 @@
 }
 
 // Run runs an answer; the error is a *pkverdict.Error.
-func (r *Runner) Run(ctx context.Context, req Request, sink Sink, budget Budget, watcher Watcher) (Finish, error) {
+func (r *Runner) Run(ctx context.Context, req Request, sink Sink, budget RetryBudget, watcher Observer) (Result, error) {
 	a := &run{Runner: r, req: req, sink: sink, budget: budget, watcher: watcher, verdict: pkverdict.NotRun}
 	for {
 		if r.Quarantine.Remaining(time.Now(), req.Digest) > 0 {
@@ -145,7 +145,7 @@
 		if errors.Is(err, errCallerGone) || ctx.Err() != nil {
 			return a.finish(""), a.failure(reasonOf(ctx), err)
 		}
-		if a.attempts >= r.Options.Attempts {
+		if a.attempts >= r.Options.MaxAttempts {
 			return a.finish(""), a.failure(pkverdict.ReasonTargetLost, fmt.Errorf("gave up after %d attempts: %w", a.attempts, err))
 		}
 		if !a.budget.Spend() {
@@ -164,8 +164,8 @@
 	return pkverdict.ReasonCanceled
 }
 
-func (a *run) finish(reason string) Finish {
-	return Finish{Reason: reason, Tokens: pkid.Tokens(a.relay.Next()), Attempts: a.attempts}
+func (a *run) finish(reason string) Result {
+	return Result{FinishReason: reason, Tokens: pkid.Tokens(a.relay.Next()), Attempts: a.attempts}
 }
 
 func (a *run) failure(reason pkverdict.Reason, err error) error {
@@ -178,18 +178,18 @@
 func (a *run) chooseChain(ctx context.Context) (pkroute.Chain, error) {
 	var waited time.Duration
 	for {
-		chain, err := a.Router.Choose(time.Now(), a.req.Want, a.avoid)
+		chain, err := a.Router.Choose(time.Now(), a.req.Spec, a.avoid)
 		if err != nil && len(a.avoid) > 0 {
 			// Retrying a failed target is better than failing the request.
-			chain, err = a.Router.Choose(time.Now(), a.req.Want, nil)
+			chain, err = a.Router.Choose(time.Now(), a.req.Spec, nil)
 		}
-		if err == nil || a.attempts == 0 || waited >= a.Options.Patience {
+		if err == nil || a.attempts == 0 || waited >= a.Options.ChainTimeout {
 			return chain, err
 		}
-		if !pktimer.Sleep(ctx, a.Options.Poll) {
+		if !pktimer.Sleep(ctx, a.Options.PollInterval) {
 			return pkroute.Chain{}, ctx.Err()
 		}
-		waited += a.Options.Poll
+		waited += a.Options.PollInterval
 	}
 }
 
@@ -250,9 +250,9 @@
 	o := pkengine.Open{
 		Stream:       a.req.ID,
 		Attempt:      attempt,
-		Model:        a.req.Want.Model,
-		Version:      a.req.Want.Version,
-		Adapter:      a.req.Want.Adapter,
+		Model:        a.req.Spec.Model,
+		Version:      a.req.Spec.Version,
+		Adapter:      a.req.Spec.Adapter,
 		Prompt:       a.req.Prompt,
 		PromptTokens: a.req.PromptTokens,
 		Delivered:    a.delivered.String(),
--- a/pkanswer/run_test.go
+++ b/pkanswer/run_test.go
@@ -188,7 +188,7 @@
 
 func (noopWatcher) AttemptEnded(context.Context, pkid.Attempt, error) {}
 
-func runScript(t *testing.T, e *scriptedEngine, spares, retries int, out Sink) (Finish, error) {
+func runScript(t *testing.T, e *scriptedEngine, spares, retries int, out Sink) (Result, error) {
 	r := &Runner{Engine: e, Router: &router{spares: spares}, Options: DefaultOptions()}
 	r.Cancel = func(_ string, _ pkid.RequestID, attempt pkid.Attempt) { e.cancelled = append(e.cancelled, attempt) }
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
--- a/pkentry/chat.go
+++ b/pkentry/chat.go
@@ -57,7 +57,7 @@
 	run := pkanswer.Request{
 		ID:           c.id,
 		Digest:       c.digest(req, prompt),
-		Want:         c.chooseWant(m, adapter),
+		Spec:         c.chooseWant(m, adapter),
 		Prompt:       prompt,
 		PromptTokens: pkopenai.CountTokens(prompt),
 		MaxTokens:    min(req.Max(limits.MaxOutputTokens), limits.MaxOutputTokens),
@@ -120,7 +120,7 @@
 func (c *call) run(run pkanswer.Request, req pkopenai.Request, endpoint pkopenai.Endpoint) error {
 	ctx, cancel := context.WithDeadline(c.r.Context(), run.Deadline)
 	defer cancel()
-	g := c.gate(run.Want.Pool)
+	g := c.gate(run.Spec.Pool)
 	g.budget.Earn()
 	leave, err := c.admit(ctx, g, pkadmit.Request{
 		Account:        c.account.ID,
@@ -156,7 +156,7 @@
 // decoding of output tokens. It returns zero if no chain is available.
 func (c *call) minServiceTime(run pkanswer.Request, output pkid.Tokens) time.Duration {
 	now := time.Now()
-	chain, err := c.Choose(now, run.Want, nil)
+	chain, err := c.Choose(now, run.Spec, nil)
 	if err != nil {
 		return 0
 	}
@@ -183,7 +183,7 @@
 	return fmt.Errorf("%w: %w", errResponseStarted, err)
 }
 
-func (c *call) record(run pkanswer.Request, req pkopenai.Request, f pkanswer.Finish) {
+func (c *call) record(run pkanswer.Request, req pkopenai.Request, f pkanswer.Result) {
 	if f.Tokens == 0 {
 		// A replay needs the number of output tokens to request.
 		return
@@ -191,7 +191,7 @@
 	err := c.recorder.add(c.began, pktrace.Line{
 		Kind:         pktrace.KindModel,
 		Account:      c.account.ID,
-		Model:        run.Want.Model,
+		Model:        run.Spec.Model,
 		Stream:       req.Stream,
 		PromptTokens: run.PromptTokens,
 		OutputTokens: f.Tokens,
@@ -218,11 +218,11 @@
 	return nil
 }
 
-func (a *answerSink) end(w http.ResponseWriter, f pkanswer.Finish, u pkopenai.Usage) error {
+func (a *answerSink) end(w http.ResponseWriter, f pkanswer.Result, u pkopenai.Usage) error {
 	if a.stream != nil {
-		return a.stream.End(f.Reason, u)
+		return a.stream.End(f.FinishReason, u)
 	}
-	return pkopenai.WriteWhole(w, a.head, a.text.String(), f.Reason, u)
+	return pkopenai.WriteWhole(w, a.head, a.text.String(), f.FinishReason, u)
 }
 
 // timedSink records the time to the first token and between tokens.
