--- a/pkanswer/run.go
+++ b/pkanswer/run.go
@@ -246,8 +246,8 @@
 	}
 }
 
-func (a *run) openRequest(attempt pkid.Attempt, chain pkroute.Chain) pkengine.Open {
-	o := pkengine.Open{
+func (a *run) openRequest(attempt pkid.Attempt, chain pkroute.Chain) pkengine.OpenRequest {
+	o := pkengine.OpenRequest{
 		Stream:       a.req.ID,
 		Attempt:      attempt,
 		Model:        a.req.Spec.Model,
@@ -271,10 +271,10 @@
 // handleEvent processes one event and returns whether it completed the answer.
 func (a *run) handleEvent(attempt pkid.Attempt, chain pkroute.Chain, ev pkengine.Event, now time.Time) (bool, error) {
 	switch {
-	case ev.Beat:
+	case ev.Heartbeat:
 		return false, nil
-	case ev.Lost != "":
-		return false, a.stageLost(chain, ev.Lost, now)
+	case ev.LostStage != "":
+		return false, a.stageLost(chain, ev.LostStage, now)
 	case ev.End != "":
 		if err := a.relay.End(attempt, ev.Total); err != nil {
 			chain.Stages[0].RecordFailure(now)
--- a/pkanswer/run_test.go
+++ b/pkanswer/run_test.go
@@ -44,7 +44,7 @@
 	script []failure
 	// crashes makes the engine refuse connections after its streams have failed.
 	crashes   bool
-	opened    []pkengine.Open
+	opened    []pkengine.OpenRequest
 	cancelled []pkid.Attempt
 }
 
@@ -53,7 +53,7 @@
 	at    pkid.Index
 }
 
-func (s *scriptedEngine) Open(_ context.Context, _ string, o pkengine.Open) (pkengine.Stream, error) {
+func (s *scriptedEngine) Open(_ context.Context, _ string, o pkengine.OpenRequest) (pkengine.Stream, error) {
 	f := failure{}
 	if n := len(s.opened); n < len(s.script) {
 		f = s.script[n]
@@ -102,10 +102,10 @@
 		case dies:
 			return pkengine.Event{}, lostError()
 		case stalls:
-			time.Sleep(4 * pkengine.BeatEvery)
+			time.Sleep(4 * pkengine.HeartbeatInterval)
 			return pkengine.Event{}, lostError()
 		case loses:
-			return pkengine.Event{Lost: s.lost}, nil
+			return pkengine.Event{LostStage: s.lost}, nil
 		case skips:
 			s.next++
 			s.fault = none
@@ -128,7 +128,7 @@
 	}
 	if !s.heartbeatSent {
 		s.heartbeatSent = true
-		return pkengine.Event{Beat: true}, nil
+		return pkengine.Event{Heartbeat: true}, nil
 	}
 	s.next++
 	return pkengine.Event{Index: s.next - 1, Text: word(s.next - 1)}, nil
@@ -222,7 +222,7 @@
 						assert.NilError(t, err)
 						assert.Equal(t, out.text.String(), fullAnswer())
 						assert.Equal(t, finish.Tokens, pkid.Tokens(answerTokens))
-						assert.Assert(t, out.gap < 2*4*pkengine.BeatEvery+200*time.Millisecond, out.gap)
+						assert.Assert(t, out.gap < 2*4*pkengine.HeartbeatInterval+200*time.Millisecond, out.gap)
 						for i, o := range e.opened[1:] {
 							assert.Assert(t, o.Attempt > e.opened[i].Attempt)
 							assert.Assert(t, o.Next >= e.opened[i].Next)
--- a/pkcontract/engine.go
+++ b/pkcontract/engine.go
@@ -29,19 +29,19 @@
 	t.Run("unreachable engine is not run", func(t *testing.T) { unreachableIsNotRun(t, open(t)) })
 }
 
-func (e EngineUnderTest) request(t *testing.T, tokens pkid.Tokens) pkengine.Open {
+func (e EngineUnderTest) request(t *testing.T, tokens pkid.Tokens) pkengine.OpenRequest {
 	t.Helper()
 	l, err := e.Engine.Load(t.Context(), e.Addr)
 	assert.NilError(t, err)
 	hop := pkengine.Hop{Target: e.Target, Addr: e.Addr, First: l.First, End: l.End}
-	return pkengine.Open{
+	return pkengine.OpenRequest{
 		Stream: "s", Attempt: 1, Model: l.Model, Version: l.Version, Route: []pkengine.Hop{hop},
 		Prompt: "p", PromptTokens: 1, MaxTokens: tokens, DeadlineMS: 10_000,
 	}
 }
 
 // readTokens reads a stream to its end and returns its tokens by index.
-func (e EngineUnderTest) readTokens(t *testing.T, o pkengine.Open) map[pkid.Index]string {
+func (e EngineUnderTest) readTokens(t *testing.T, o pkengine.OpenRequest) map[pkid.Index]string {
 	t.Helper()
 	s, err := e.Engine.Open(t.Context(), e.Addr, o)
 	assert.NilError(t, err)
@@ -51,7 +51,7 @@
 		ev, err := s.Next()
 		assert.NilError(t, err)
 		switch {
-		case ev.Beat:
+		case ev.Heartbeat:
 		case ev.End != "":
 			assert.Equal(t, ev.Total, pkid.Index(o.MaxTokens))
 			return out
@@ -101,7 +101,7 @@
 	assert.NilError(t, err)
 	o := pkengine.Order{Fence: 5, Model: l.Model, Version: l.Version + "-next", First: l.First, End: l.End}
 	assert.NilError(t, e.Engine.Order(t.Context(), e.Addr, o))
-	for !o.Met(l) {
+	for !o.SatisfiedBy(l) {
 		l, err = e.Engine.Load(t.Context(), e.Addr)
 		assert.NilError(t, err)
 	}
@@ -113,7 +113,7 @@
 }
 
 func unreachableIsNotRun(t *testing.T, e EngineUnderTest) {
-	_, err := e.Engine.Open(t.Context(), "127.0.0.1:1", pkengine.Open{})
+	_, err := e.Engine.Open(t.Context(), "127.0.0.1:1", pkengine.OpenRequest{})
 	var failure *pkverdict.Error
 	assert.Assert(t, errors.As(err, &failure), err)
 	assert.Equal(t, failure.Verdict, pkverdict.NotRun)
--- a/pkdaemon/daemon.go
+++ b/pkdaemon/daemon.go
@@ -15,7 +15,7 @@
 const (
 	// streamIdleTimeout is how long a stream may be silent before its engine counts as failed. It
 	// spans four heartbeats to tolerate a late one.
-	streamIdleTimeout = 4 * pkengine.BeatEvery
+	streamIdleTimeout = 4 * pkengine.HeartbeatInterval
 	// serviceAttempts is the maximum number of attempts of a call to a plain service.
 	serviceAttempts = 4
 )
--- a/pkengine/client.go
+++ b/pkengine/client.go
@@ -54,7 +54,7 @@
 }
 
 // Open starts a stream; the error is a *pkverdict.Error.
-func (c *Client) Open(ctx context.Context, addr string, o Open) (Stream, error) {
+func (c *Client) Open(ctx context.Context, addr string, o OpenRequest) (Stream, error) {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return nil, &pkverdict.Error{Verdict: pkverdict.NotRun, Reason: pkverdict.ReasonRefused, Err: err}
--- a/pkengine/client_test.go
+++ b/pkengine/client_test.go
@@ -34,7 +34,7 @@
 
 func readAll(t *testing.T, c *Client, addr string) error {
 	t.Helper()
-	s, err := c.Open(t.Context(), addr, Open{Stream: "s", Attempt: 1})
+	s, err := c.Open(t.Context(), addr, OpenRequest{Stream: "s", Attempt: 1})
 	if err != nil {
 		return err
 	}
--- a/pkengine/engine.go
+++ b/pkengine/engine.go
@@ -7,9 +7,9 @@
 	"peridotknot.example/pkid"
 )
 
-// BeatEvery is the longest interval between two events of an open stream; without a token, the
+// HeartbeatInterval is the longest interval between two events of an open stream; without a token, the
 // engine sends a heartbeat.
-const BeatEvery = 150 * time.Millisecond
+const HeartbeatInterval = 150 * time.Millisecond
 
 // Hop is one stage of a route.
 type Hop struct {
@@ -19,8 +19,8 @@
 	End    pkid.Layer    `json:"end"`
 }
 
-// Open is the request to the first engine of a route for a stream.
-type Open struct {
+// OpenRequest is the request to the first engine of a route for a stream.
+type OpenRequest struct {
 	Stream       pkid.RequestID `json:"stream"`
 	Attempt      pkid.Attempt   `json:"attempt"`
 	Model        pkid.ModelID   `json:"model"`
@@ -40,15 +40,15 @@
 
 // Event is one line of a stream: a token, a heartbeat, the end or the loss of a stage.
 type Event struct {
-	Index pkid.Index `json:"i"`
-	Text  string     `json:"t,omitempty"`
-	Beat  bool       `json:"beat,omitempty"`
+	Index     pkid.Index `json:"i"`
+	Text      string     `json:"t,omitempty"`
+	Heartbeat bool       `json:"beat,omitempty"`
 	// End is the finish reason on the last event of a complete answer, and Total the number of
 	// tokens in the answer.
 	End   string     `json:"end,omitempty"`
 	Total pkid.Index `json:"total,omitempty"`
-	// Lost names a stage of the route that the engines lost.
-	Lost pkid.TargetID `json:"lost,omitempty"`
+	// LostStage names a stage of the route that the engines lost.
+	LostStage pkid.TargetID `json:"lost,omitempty"`
 }
 
 // Load is an engine's report on its state and load.
@@ -91,8 +91,8 @@
 	End      pkid.Layer       `json:"end"`
 }
 
-// Met returns whether an engine that reports l has reached the state in o.
-func (o Order) Met(l Load) bool {
+// SatisfiedBy returns whether an engine that reports l has reached the state in o.
+func (o Order) SatisfiedBy(l Load) bool {
 	return l.Model == o.Model && l.Version == o.Version && l.Role == o.Role &&
 		l.First == o.First && l.End == o.End && sameAdapters(l.Adapters, o.Adapters)
 }
@@ -124,7 +124,7 @@
 // Engine is a model engine at an address.
 type Engine interface {
 	// Open starts a stream; the error is a *pkverdict.Error.
-	Open(ctx context.Context, addr string, o Open) (Stream, error)
+	Open(ctx context.Context, addr string, o OpenRequest) (Stream, error)
 	// Cancel stops an attempt of a stream, so that it frees its batch slot.
 	Cancel(ctx context.Context, addr string, stream pkid.RequestID, attempt pkid.Attempt) error
 	// Load returns the engine's report on its state and load.
--- a/pklab/latency_test.go
+++ b/pklab/latency_test.go
@@ -165,7 +165,7 @@
 	route, err := l.Route(b.Context(), "budget-de")
 	assert.NilError(b, err)
 	direct = func(i int) *http.Request {
-		body, err := json.Marshal(pkengine.Open{
+		body, err := json.Marshal(pkengine.OpenRequest{
 			Stream: pkid.RequestID(fmt.Sprint(i, time.Now().UnixNano())), Attempt: 1, Model: "budget-de", Version: "2026-12-01",
 			Route: route, Prompt: "x", PromptTokens: 1, MaxTokens: tokens, DeadlineMS: 1000,
 		})
--- a/pkmeasure/datapath.go
+++ b/pkmeasure/datapath.go
@@ -193,7 +193,7 @@
 	transport := pkconn.DefaultOptions().Transport()
 	client := &http.Client{Transport: transport}
 	do := func(ctx context.Context, call, tokens int) error {
-		body, err := json.Marshal(pkengine.Open{
+		body, err := json.Marshal(pkengine.OpenRequest{
 			Stream: pkid.RequestID(fmt.Sprint("measure-", call, "-", time.Now().UnixNano())), Attempt: 1, Model: "budget-de", Version: "2026-12-01",
 			Route: route, Prompt: "measure", PromptTokens: 3, MaxTokens: pkid.Tokens(tokens), DeadlineMS: 10_000,
 		})
--- a/pkorder/plan.go
+++ b/pkorder/plan.go
@@ -159,7 +159,7 @@
 	}
 	_, wanted := p.wanted[h.Range]
 	held := pkengine.Load{Model: h.Model, Version: h.Version, Adapters: h.Adapters, Role: h.Role, First: h.Range.First, End: h.Range.End}
-	return wanted && p.order(h.Range).Met(held)
+	return wanted && p.order(h.Range).SatisfiedBy(held)
 }
 
 // bestReload returns the engine whose reload leaves the pool with the most capacity, and the range
--- a/pkstandin/engine.go
+++ b/pkstandin/engine.go
@@ -116,7 +116,7 @@
 }
 
 func (e *Engine) open(w http.ResponseWriter, r *http.Request) {
-	var o pkengine.Open
+	var o pkengine.OpenRequest
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -223,7 +223,7 @@
 		e.mu.Unlock()
 		return
 	}
-	if o.Met(pkengine.Load{Model: e.current.Model, Version: e.current.Version, Adapters: e.current.Adapters, Role: e.current.Role, First: e.current.First, End: e.current.End}) {
+	if o.SatisfiedBy(pkengine.Load{Model: e.current.Model, Version: e.current.Version, Adapters: e.current.Adapters, Role: e.current.Role, First: e.current.First, End: e.current.End}) {
 		e.mu.Unlock()
 		return
 	}
@@ -262,7 +262,7 @@
 // generation is an attempt of a stream, run by the first engine of the route.
 type generation struct {
 	env          *World
-	open         pkengine.Open
+	open         pkengine.OpenRequest
 	stages       []*Engine
 	w            http.ResponseWriter
 	control      *http.ResponseController
@@ -296,7 +296,7 @@
 			return
 		}
 		if lost := g.runToken(key, i); lost != "" {
-			g.send(pkengine.Event{Index: i, Lost: lost})
+			g.send(pkengine.Event{Index: i, LostStage: lost})
 			return
 		}
 		g.line = append(g.line[:0], `{"i":`...)
@@ -345,7 +345,7 @@
 // has disconnected.
 func (g *generation) wait(d time.Duration) bool {
 	for d > 0 {
-		part := min(d, pkengine.BeatEvery)
+		part := min(d, pkengine.HeartbeatInterval)
 		timer := time.NewTimer(part)
 		select {
 		case <-timer.C:
@@ -360,7 +360,7 @@
 		if g.stages[0].dead.Load() {
 			panic(http.ErrAbortHandler)
 		}
-		if d > 0 && !g.send(pkengine.Event{Beat: true}) {
+		if d > 0 && !g.send(pkengine.Event{Heartbeat: true}) {
 			return false
 		}
 	}
@@ -381,7 +381,7 @@
 
 // stages returns the engines of a route. It fails unless each engine has loaded the model, version
 // and layers that the route names.
-func (env *World) stages(o pkengine.Open) ([]*Engine, error) {
+func (env *World) stages(o pkengine.OpenRequest) ([]*Engine, error) {
 	var out []*Engine
 	for _, hop := range o.Route {
 		e, found := env.engines[hop.Target]
