--- a/pkconn/conn.go
+++ b/pkconn/conn.go
@@ -42,14 +42,14 @@
 
 // Options sets the timeouts and the pool limits of connections.
 type Options struct {
-	// Dial limits the time to connect.
-	Dial time.Duration
-	// Unacknowledged limits the time that sent data may stay unacknowledged (TCP_USER_TIMEOUT).
-	Unacknowledged time.Duration
-	// Idle limits the time that a connection stays unused in the pool.
-	Idle time.Duration
-	// PerHost limits the idle connections to one address.
-	PerHost int
+	// DialTimeout limits the time to connect.
+	DialTimeout time.Duration
+	// TCPUserTimeout limits the time that sent data may stay unacknowledged (TCP_USER_TIMEOUT).
+	TCPUserTimeout time.Duration
+	// IdleTimeout limits the time that a connection stays unused in the pool.
+	IdleTimeout time.Duration
+	// MaxIdlePerHost limits the idle connections to one address.
+	MaxIdlePerHost int
 	// Registry tracks the open connections; it may be nil.
 	Registry *Registry
 }
@@ -57,16 +57,16 @@
 // DefaultOptions returns options for links within one region.
 func DefaultOptions() Options {
 	return Options{
-		Dial:           300 * time.Millisecond,
-		Unacknowledged: 900 * time.Millisecond,
-		Idle:           15 * time.Second,
-		PerHost:        256,
+		DialTimeout:    300 * time.Millisecond,
+		TCPUserTimeout: 900 * time.Millisecond,
+		IdleTimeout:    15 * time.Second,
+		MaxIdlePerHost: 256,
 	}
 }
 
 func (o Options) dialer() *net.Dialer {
 	return &net.Dialer{
-		Timeout: o.Dial,
+		Timeout: o.DialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
 			Idle:     time.Second,
@@ -83,7 +83,7 @@
 func (o Options) control(_, _ string, raw syscall.RawConn) error {
 	var sockErr error
 	err := raw.Control(func(fd uintptr) {
-		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(o.Unacknowledged.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(o.TCPUserTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
--- a/pkconn/replay_test.go
+++ b/pkconn/replay_test.go
@@ -82,7 +82,7 @@
 			var tracker Tracker
 			body := c.body
 			if c.once {
-				body = Once(c.body)
+				body = NonReplayable(c.body)
 			}
 			req, err := http.NewRequestWithContext(tracker.Trace(context.Background()), c.method, "http://"+addr, body)
 			assert.NilError(t, err)
@@ -108,7 +108,7 @@
 	addr := l.Addr().String()
 	assert.NilError(t, l.Close())
 	var tracker Tracker
-	req, err := http.NewRequestWithContext(tracker.Trace(context.Background()), http.MethodGet, "http://"+addr, Once(nil))
+	req, err := http.NewRequestWithContext(tracker.Trace(context.Background()), http.MethodGet, "http://"+addr, NonReplayable(nil))
 	assert.NilError(t, err)
 	resp, err := (&http.Client{Transport: DefaultOptions().Transport()}).Do(req)
 	if err == nil {
--- a/pkconn/transport.go
+++ b/pkconn/transport.go
@@ -15,8 +15,8 @@
 func (o Options) Transport() *http.Transport {
 	return &http.Transport{
 		DialContext:         o.DialContext,
-		MaxIdleConnsPerHost: o.PerHost,
-		IdleConnTimeout:     o.Idle,
+		MaxIdleConnsPerHost: o.MaxIdlePerHost,
+		IdleConnTimeout:     o.IdleTimeout,
 		DisableCompression:  true,
 		// HTTP/2 multiplexes requests on one connection, so the count of written bytes would no
 		// longer belong to one request, and one lost connection would fail many requests.
@@ -32,13 +32,13 @@
 	return p
 }
 
-// Once wraps a body, which may be nil, so that net/http cannot retry its request.
+// NonReplayable wraps a body, which may be nil, so that net/http cannot retry its request.
 //
 // When a reused connection closes before the response, net/http retries a GET, HEAD or OPTIONS and
 // every request with an Idempotency-Key header, and the target would run the request twice. It does
 // so only if it can replay the body, which is not the case for a body that is neither nil nor
 // http.NoBody and has no GetBody.
-func Once(body io.Reader) io.ReadCloser {
+func NonReplayable(body io.Reader) io.ReadCloser {
 	if body == nil {
 		return &onceBody{Reader: http.NoBody}
 	}
--- a/pkengine/client.go
+++ b/pkengine/client.go
@@ -62,7 +62,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	idleTimer := time.AfterFunc(c.idleTimeout, func() { cancel(errIdle) })
 	var tracker pkconn.Tracker
-	req, err := http.NewRequestWithContext(tracker.Trace(ctx), http.MethodPost, "http://"+addr+PathStreams, pkconn.Once(bytes.NewReader(body)))
+	req, err := http.NewRequestWithContext(tracker.Trace(ctx), http.MethodPost, "http://"+addr+PathStreams, pkconn.NonReplayable(bytes.NewReader(body)))
 	if err != nil {
 		idleTimer.Stop()
 		cancel(nil)
@@ -128,7 +128,7 @@
 		body = bytes.NewReader(raw)
 		size = int64(len(raw))
 	}
-	req, err := http.NewRequestWithContext(ctx, method, target, pkconn.Once(body))
+	req, err := http.NewRequestWithContext(ctx, method, target, pkconn.NonReplayable(body))
 	if err != nil {
 		return fmt.Errorf("create engine request: %w", err)
 	}
--- a/pkforward/sender.go
+++ b/pkforward/sender.go
@@ -127,7 +127,7 @@
 		Method: r.Method, URL: u, Host: r.Host,
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		Header: make(http.Header, len(r.Header)+4),
-		Body:   pkconn.Once(body),
+		Body:   pkconn.NonReplayable(body),
 		// With a non-nil Body, 0 and -1 both mean an unknown length; net/http then probes the body
 		// and sends none if it is empty.
 		ContentLength: int64(len(r.Body)),
--- a/pkservice/proxy.go
+++ b/pkservice/proxy.go
@@ -109,7 +109,7 @@
 func (p *Proxy) sendOnce(ctx context.Context, c Call, body io.Reader, t *pktarget.Target) (*http.Response, error) {
 	var track pkconn.Tracker
 	target := url.URL{Scheme: "http", Host: t.Info.Addr, Path: c.URI.Path, RawPath: c.URI.RawPath, RawQuery: c.URI.RawQuery}
-	req, err := http.NewRequestWithContext(track.Trace(ctx), c.Method, target.String(), pkconn.Once(body))
+	req, err := http.NewRequestWithContext(track.Trace(ctx), c.Method, target.String(), pkconn.NonReplayable(body))
 	if err != nil {
 		return nil, &pkverdict.Error{Verdict: pkverdict.NotRun, Reason: pkverdict.ReasonRefused, Err: err}
 	}
