--- a/peridotknot/manifest.go
+++ b/peridotknot/manifest.go
@@ -98,7 +98,7 @@
 	store, ctx, done := c.open()
 	defer done()
 	if c.Resume != "" {
-		out, err := pkhead.Settle(ctx, store, pkhead.PublishID(c.Resume))
+		out, err := pkhead.Resolve(ctx, store, pkhead.PublishID(c.Resume))
 		return reportOutcome(pkhead.PublishID(c.Resume), out, err)
 	}
 	m, body, err := fileArg{File: c.Args.File}.read()
--- a/pkentry/inbound.go
+++ b/pkentry/inbound.go
@@ -115,7 +115,7 @@
 	if view := e.view.Load(); view != nil {
 		rev, digest = view.Revision, view.Digest
 	}
-	switch pkhead.Consider(rev, digest, s.Revision, s.Digest) {
+	switch pkhead.Compare(rev, digest, s.Revision, s.Digest) {
 	case pkhead.Adopt:
 		if !e.peers.shouldRequest(s.Revision, time.Now()) {
 			return nil
--- a/pkentry/manifest.go
+++ b/pkentry/manifest.go
@@ -149,7 +149,7 @@
 	if view == nil {
 		return true
 	}
-	switch pkhead.Consider(view.Revision, view.Digest, p.Revision, p.Digest) {
+	switch pkhead.Compare(view.Revision, view.Digest, p.Revision, p.Digest) {
 	case pkhead.Adopt:
 		return true
 	case pkhead.Older:
--- a/pkhead/adopt.go
+++ b/pkhead/adopt.go
@@ -23,9 +23,9 @@
 	Conflict
 )
 
-// Consider compares a received manifest with the one in force. A lower revision is
+// Compare compares a received manifest with the one in force. A lower revision is
 // never adopted, since it would restore accounts that have been removed.
-func Consider(rev pkid.Revision, digest pkmanifest.Digest, newRev pkid.Revision, newDigest pkmanifest.Digest) Adoption {
+func Compare(rev pkid.Revision, digest pkmanifest.Digest, newRev pkid.Revision, newDigest pkmanifest.Digest) Adoption {
 	switch {
 	case newRev > rev:
 		return Adopt
--- a/pkhead/publish.go
+++ b/pkhead/publish.go
@@ -76,7 +76,7 @@
 	}
 	swapped, err := s.Swap(ctx, pkstore.Swap{Key: HeadKey, Old: rev, Value: value})
 	if err != nil {
-		return Settle(ctx, s, d.ID)
+		return Resolve(ctx, s, d.ID)
 	}
 	if swapped.Done {
 		return Outcome{Result: Accepted, Head: next}, nil
@@ -102,9 +102,9 @@
 	return head, swapped.Item.Revision, err
 }
 
-// Settle determines the outcome of a publication whose response was lost. After it
+// Resolve determines the outcome of a publication whose response was lost. After it
 // has returned Refused, the lost write can no longer take effect.
-func Settle(ctx context.Context, s pkstore.Store, id PublishID) (Outcome, error) {
+func Resolve(ctx context.Context, s pkstore.Store, id PublishID) (Outcome, error) {
 	item, err := s.Load(ctx, HeadKey)
 	if err != nil {
 		return Outcome{}, err
--- a/pkhead/publish_test.go
+++ b/pkhead/publish_test.go
@@ -117,7 +117,7 @@
 	assert.Equal(t, out.Result, Unknown)
 	down = false
 	s.After = nil
-	out, err = Settle(t.Context(), s, "mine")
+	out, err = Resolve(t.Context(), s, "mine")
 	assert.NilError(t, err)
 	assert.Equal(t, out.Result, Accepted)
 }
@@ -164,11 +164,11 @@
 }
 
 func TestConsiderRejectsOlderRevision(t *testing.T) {
-	assert.Equal(t, Consider(0, "", 1, "a"), Adopt)
-	assert.Equal(t, Consider(2, "a", 3, "b"), Adopt)
-	assert.Equal(t, Consider(2, "a", 2, "a"), Same)
-	assert.Equal(t, Consider(2, "a", 1, "b"), Older)
-	assert.Equal(t, Consider(2, "a", 2, "b"), Conflict)
+	assert.Equal(t, Compare(0, "", 1, "a"), Adopt)
+	assert.Equal(t, Compare(2, "a", 3, "b"), Adopt)
+	assert.Equal(t, Compare(2, "a", 2, "a"), Same)
+	assert.Equal(t, Compare(2, "a", 1, "b"), Older)
+	assert.Equal(t, Compare(2, "a", 2, "b"), Conflict)
 }
 
 // A decompression bomb from a peer or the store must be rejected before it exhausts
