--- a/pkentry/owner.go
+++ b/pkentry/owner.go
@@ -86,7 +86,7 @@
 	case e.shouldAcquire(m.Pool):
 		e.acquire(ctx, m.Pool, o)
 	}
-	if o.lease.MayOrder(time.Now(), m.Enforces) {
+	if o.lease.MayOrder(time.Now(), m.EnforcesFencing) {
 		e.sendOrders(ctx, m, o)
 	}
 }
--- a/pkentry/service.go
+++ b/pkentry/service.go
@@ -62,7 +62,7 @@
 		return err
 	}
 	defer leave(1)
-	release, err := c.claim(s.ID, s.Repeatable(c.r.Method, servicePath(c.r.URL, s.ID).Path))
+	release, err := c.claim(s.ID, s.Retryable(c.r.Method, servicePath(c.r.URL, s.ID).Path))
 	if err != nil {
 		return err
 	}
@@ -75,7 +75,7 @@
 
 func (c *call) forward(ctx context.Context, s *pkmanifest.Service, deadline time.Time, limit int64, g *gate) error {
 	uri := servicePath(c.r.URL, s.ID)
-	idempotent := s.Repeatable(c.r.Method, uri.Path)
+	idempotent := s.Retryable(c.r.Method, uri.Path)
 	ctx, span := c.tracer.Start(ctx, "service", trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
 	header := c.r.Header.Clone()
--- a/pkmanifest/check.go
+++ b/pkmanifest/check.go
@@ -56,7 +56,7 @@
 		c.Want(model.Version != "", "version is missing", "models", i)
 		c.Want(model.Pool != "", "pool is missing", "models", i)
 		c.Want(model.Layers > 0, "layers is missing or not above zero", "models", i, "layers")
-		c.Want(model.LoadsAtOnce > 0, "loads_at_once is missing or not above zero", "models", i)
+		c.Want(model.MaxConcurrentLoads > 0, "loads_at_once is missing or not above zero", "models", i)
 		c.splits(i, model)
 	}
 }
--- a/pkmanifest/manifest.go
+++ b/pkmanifest/manifest.go
@@ -37,12 +37,12 @@
 	Layers   pkid.Layer       `yaml:"layers" json:"layers"`
 	Adapters []pkid.AdapterID `yaml:"adapters" json:"adapters,omitempty"`
 	Splits   []Split          `yaml:"splits" json:"splits"`
-	// Enforces says that the pool's engines reject orders with an outdated
+	// EnforcesFencing says that the pool's engines reject orders with an outdated
 	// fencing token.
-	Enforces bool `yaml:"enforces_fencing" json:"enforces_fencing"`
-	// LoadsAtOnce is how many engines of the pool may load weights concurrently,
+	EnforcesFencing bool `yaml:"enforces_fencing" json:"enforces_fencing"`
+	// MaxConcurrentLoads is how many engines of the pool may load weights concurrently,
 	// according to the bandwidth of the weight store.
-	LoadsAtOnce int `yaml:"loads_at_once" json:"loads_at_once"`
+	MaxConcurrentLoads int `yaml:"loads_at_once" json:"loads_at_once"`
 }
 
 // Split is a layer range and its weight, the relative share of the pool's targets
@@ -83,8 +83,8 @@
 	MaxInFlight int `yaml:"max_in_flight" json:"max_in_flight"`
 }
 
-// Repeatable reports whether a call to s may be retried.
-func (s Service) Repeatable(method, path string) bool {
+// Retryable reports whether a call to s may be retried.
+func (s Service) Retryable(method, path string) bool {
 	for _, r := range s.Idempotent {
 		if r.matches(method, path) {
 			return true
--- a/pkmanifest/manifest_test.go
+++ b/pkmanifest/manifest_test.go
@@ -68,11 +68,11 @@
 
 func TestRepeatable(t *testing.T) {
 	s := Service{Idempotent: []Route{{Method: "GET", Prefix: "/records"}}}
-	assert.Assert(t, s.Repeatable("GET", "/records/7"))
-	assert.Assert(t, s.Repeatable("GET", "/records"))
-	assert.Assert(t, !s.Repeatable("POST", "/records/7"))
-	assert.Assert(t, !s.Repeatable("GET", "/ballots/7"))
-	assert.Assert(t, !s.Repeatable("GET", "/recordsandmore"))
+	assert.Assert(t, s.Retryable("GET", "/records/7"))
+	assert.Assert(t, s.Retryable("GET", "/records"))
+	assert.Assert(t, !s.Retryable("POST", "/records/7"))
+	assert.Assert(t, !s.Retryable("GET", "/ballots/7"))
+	assert.Assert(t, !s.Retryable("GET", "/recordsandmore"))
 }
 
 func TestDiff(t *testing.T) {
--- a/pkorder/plan.go
+++ b/pkorder/plan.go
@@ -42,7 +42,7 @@
 // Next returns the orders that may be sent now.
 func Next(s PoolState) []Assignment {
 	p := newPlan(s)
-	budget := s.Model.LoadsAtOnce - len(s.Loading)
+	budget := s.Model.MaxConcurrentLoads - len(s.Loading)
 	var out []Assignment
 	for len(out) < budget {
 		t, r, found := p.bestReload(p.minCapacity())
--- a/pkorder/plan_test.go
+++ b/pkorder/plan_test.go
@@ -19,7 +19,7 @@
 
 func testModel(version pkid.Version, maxLoads int) *pkmanifest.Model {
 	return &pkmanifest.Model{
-		ID: "m", Version: version, Pool: "p", Layers: 8, LoadsAtOnce: maxLoads,
+		ID: "m", Version: version, Pool: "p", Layers: 8, MaxConcurrentLoads: maxLoads,
 		Splits: []pkmanifest.Split{{First: 0, End: 4, Weight: 1}, {First: 4, End: 8, Weight: 1}},
 	}
 }
