--- a/pkconfig/config.go
+++ b/pkconfig/config.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// Share is a service of a route and its weight in the traffic split.
-type Share struct {
+// WeightedService is a service of a route and its weight in the traffic split.
+type WeightedService struct {
 	Service pkid.ServiceID
 	Weight  int
 }
@@ -44,14 +44,14 @@
 	Host     string
 	Prefix   string
 	Kind     Kind
-	Services []Share
+	Services []WeightedService
 	// Timeout bounds the time to the complete response.
 	Timeout time.Duration
-	// Objective is the latency objective: the time to the response, for a stream to
+	// LatencyObjective is the latency objective: the time to the response, for a stream to
 	// its first event.
-	Objective time.Duration
-	// PauseObjective is the objective for the longest gap between events of a stream.
-	PauseObjective time.Duration
+	LatencyObjective time.Duration
+	// GapObjective is the objective for the longest gap between events of a stream.
+	GapObjective time.Duration
 	// Priority orders requests; 0 is the most urgent.
 	Priority int
 	// MaxAttempts bounds how many targets may run one request.
@@ -62,8 +62,8 @@
 	Resumable bool
 }
 
-// Repeatable reports whether a request that may have run may be retried.
-func (r *Route) Repeatable() bool {
+// Retryable reports whether a request that may have run may be retried.
+func (r *Route) Retryable() bool {
 	return r.Kind == Idempotent || (r.Kind == Stream && r.Resumable)
 }
 
--- a/pkconfig/table.go
+++ b/pkconfig/table.go
@@ -70,24 +70,24 @@
 	return s, found
 }
 
-// Keyed reports whether routes that are not public require an API key.
-func (t *Table) Keyed() bool { return len(t.Accounts) > 0 }
+// RequiresKeys reports whether routes that are not public require an API key.
+func (t *Table) RequiresKeys() bool { return len(t.Accounts) > 0 }
 
-// Book holds the configuration in force; the zero value holds none.
-type Book struct {
+// Holder holds the configuration in force; the zero value holds none.
+type Holder struct {
 	mu      sync.Mutex
 	current atomic.Pointer[Table]
 }
 
 // Table returns the configuration in force, or nil before the first one.
-func (b *Book) Table() *Table { return b.current.Load() }
+func (b *Holder) Table() *Table { return b.current.Load() }
 
 // Adopt puts a configuration in force and reports true, unless the same or a higher
 // version is in force already. Peers and late responses of the store can deliver an
 // older version, which would bring back revoked keys. So can a store restored from an
 // older copy: its revisions belong to a later era, but its versions may be lower. If
 // the version in force arrives from a later era, only the item is updated.
-func (b *Book) Adopt(c Config, item pkstore.Item) bool {
+func (b *Holder) Adopt(c Config, item pkstore.Item) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	current, rev := b.current.Load(), item.Revision
--- a/pkconfig/table_test.go
+++ b/pkconfig/table_test.go
@@ -29,7 +29,7 @@
 // order. Adopting an older version would restore a revoked key.
 func TestVersionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var b Book
+		var b Holder
 		inForce := Version(0)
 		for _, v := range rapid.SliceOf(rapid.IntRange(1, 9)).Draw(t, "versions") {
 			adopted := b.Adopt(Config{Version: Version(v)}, itemAt(pkstore.Revision(10*v)))
@@ -68,7 +68,7 @@
 			writes = append(writes, written{Version(version - 1), pkstore.NewRevision(pkstore.Era(era+1), number+1)})
 			number += 2
 		}
-		var b Book
+		var b Holder
 		inForce := Version(0)
 		for _, w := range rapid.Permutation(writes).Draw(t, "order") {
 			b.Adopt(Config{Version: w.version}, itemAt(w.rev))
@@ -86,7 +86,7 @@
 // An entry starts after the store was restored and reads an older version there. It must still adopt
 // the newer version that a peer has from the previous era.
 func TestNewEntryAdoptsNewerVersionOfEarlierEra(t *testing.T) {
-	var b Book
+	var b Holder
 	assert.Assert(t, b.Adopt(Config{Version: 7}, itemAt(pkstore.NewRevision(2, 5))))
 	assert.Assert(t, b.Adopt(Config{Version: 9}, itemAt(pkstore.NewRevision(1, 8))))
 	assert.Equal(t, b.Table().Version, Version(9))
--- a/pkedge/attempt.go
+++ b/pkedge/attempt.go
@@ -64,7 +64,7 @@
 func (c *call) newAttempt(now time.Time, s *pkconfig.Service, p targetPath, cancel context.CancelCauseFunc) *attempt {
 	a := &attempt{
 		call: c, service: s, began: now, lastEventAt: now, tokens: c.estimatedTokens(s.Engine), cancel: cancel, path: p,
-		canRetry:   c.route.Repeatable() && c.runs+1 < c.route.MaxAttempts,
+		canRetry:   c.route.Retryable() && c.runs+1 < c.route.MaxAttempts,
 		drainDelay: drainDelayMin + rand.N(drainDelayMax-drainDelayMin),
 	}
 	p.reserve(now, s.Engine, &c.pipes, a.tokens, float64(c.req.Meta.PromptTokens), c.gossip.reportDelay())
@@ -161,7 +161,7 @@
 func (a *attempt) flowLocked() pkstall.Stream {
 	return pkstall.Stream{
 		Path: a.path.targetIDs(), Started: a.events > 0, LastProgress: a.lastEventAt, MeanGap: a.meanPause,
-		MaxGap: a.call.route.PauseObjective, MaxFirstWait: a.call.route.Objective,
+		MaxGap: a.call.route.GapObjective, MaxFirstWait: a.call.route.LatencyObjective,
 	}
 }
 
--- a/pkedge/call.go
+++ b/pkedge/call.go
@@ -134,7 +134,7 @@
 		return &rejection{status: http.StatusNotFound, reason: "no_route"}
 	}
 	c.route = route
-	if c.table.Keyed() && !route.Public {
+	if c.table.RequiresKeys() && !route.Public {
 		account, found := c.table.Account(c.req.Meta.APIKey)
 		if !found {
 			return &rejection{status: http.StatusUnauthorized, reason: "unknown_key"}
--- a/pkedge/choose_test.go
+++ b/pkedge/choose_test.go
@@ -56,7 +56,7 @@
 		d, s := poolDaemon(slow)
 		s.Engine.EventTokens = row.tokens
 		s.Engine.Kinds["l4"] = pklayers.Accelerator{MemoryMB: 180_000, StepFactor: row.factor, PrefillFactor: 1}
-		c := &call{Daemon: d, route: &pkconfig.Route{PauseObjective: pause}}
+		c := &call{Daemon: d, route: &pkconfig.Route{GapObjective: pause}}
 		_, found := c.nextPath(time.Now(), s)
 		assert.Equal(t, found, row.want, "%+v", row)
 	}
--- a/pkedge/daemon.go
+++ b/pkedge/daemon.go
@@ -61,7 +61,7 @@
 	log     hclog.Logger
 	metrics *metrics
 
-	book   pkconfig.Book
+	book   pkconfig.Holder
 	roster pkreplica.Roster
 	paces  pkpace.Table
 	pipes  pklayers.LinkUsage
--- a/pkedge/plain.go
+++ b/pkedge/plain.go
@@ -79,7 +79,7 @@
 			// The target's own error answer is forwarded unchanged.
 			return c.forward(a, body)
 		}
-		if !verdict.MayRetry(c.route.Repeatable()) {
+		if !verdict.MayRetry(c.route.Retryable()) {
 			if a != nil {
 				return c.forward(a, body)
 			}
@@ -108,7 +108,7 @@
 
 // mayRetry reports whether the verdict and the limit of attempts allow another send.
 func (c *call) mayRetry(verdict pkverdict.Verdict) bool {
-	return verdict.MayRetry(c.route.Repeatable()) && c.runs < c.route.MaxAttempts
+	return verdict.MayRetry(c.route.Retryable()) && c.runs < c.route.MaxAttempts
 }
 
 // chargeRetry charges a send to the retry budget, unless that was done already, and reports whether
@@ -155,7 +155,7 @@
 func (c *call) sendTo(ctx context.Context, t *pkreplica.Target) (*pkforward.Response, []byte, error) {
 	began := time.Now()
 	left := c.deadline.Sub(began)
-	if c.route.Repeatable() && c.runs+1 < c.route.MaxAttempts {
+	if c.route.Retryable() && c.runs+1 < c.route.MaxAttempts {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, time.Duration(attemptTimeoutShare*float64(left)))
 		defer cancel()
--- a/pkedge/stream.go
+++ b/pkedge/stream.go
@@ -177,7 +177,7 @@
 // pathQuery returns the query for a path of the request.
 func (c *call) pathQuery(s *pkconfig.Service) pathQuery {
 	q := c.newPathQuery(s, c.estimatedTokens(s.Engine), c.sends)
-	if pause := c.route.PauseObjective; q.maxCost > 0 && pause > 0 {
+	if pause := c.route.GapObjective; q.maxCost > 0 && pause > 0 {
 		q.maxCost = maxTokenCost(pause, s.Engine)
 	}
 	return q
