--- a/pkcontract/memory.go
+++ b/pkcontract/memory.go
@@ -65,10 +65,10 @@
 }
 
 // Swap writes if the key is at s.Old.
-func (m *Memory) Swap(_ context.Context, s pkstore.Swap) (pkstore.Swapped, error) {
+func (m *Memory) Swap(_ context.Context, s pkstore.Swap) (pkstore.SwapResult, error) {
 	if m.Before != nil {
 		if err := m.Before(s); err != nil {
-			return pkstore.Swapped{}, err
+			return pkstore.SwapResult{}, err
 		}
 	}
 	out, err := m.apply(s)
@@ -78,15 +78,15 @@
 	return out, err
 }
 
-func (m *Memory) apply(s pkstore.Swap) (pkstore.Swapped, error) {
+func (m *Memory) apply(s pkstore.Swap) (pkstore.SwapResult, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if current := m.items[s.Key]; current.Revision != s.Old {
 		current.Key = s.Key
-		return pkstore.Swapped{Item: current}, nil
+		return pkstore.SwapResult{Item: current}, nil
 	}
 	if _, found := m.leases[s.Lease]; s.Lease != 0 && !found {
-		return pkstore.Swapped{}, pkstore.ErrNoLease
+		return pkstore.SwapResult{}, pkstore.ErrNoLease
 	}
 	m.revision++
 	written := pkstore.Item{Key: s.Key, Value: s.Value, Revision: m.revision}
@@ -98,7 +98,7 @@
 		m.leaseOf[s.Key] = s.Lease
 	}
 	m.publish(pkstore.Event{Item: written, Deleted: s.Delete})
-	return pkstore.Swapped{Done: true, Item: written}, nil
+	return pkstore.SwapResult{Succeeded: true, Item: written}, nil
 }
 
 func (m *Memory) publish(ev pkstore.Event) {
--- a/pkcontract/store.go
+++ b/pkcontract/store.go
@@ -25,7 +25,7 @@
 	t.Run("watch reports all changes after its revision", func(t *testing.T) { watchFromRevision(t, open(t)) })
 }
 
-func put(t *testing.T, s pkstore.Store, key, value string, old pkstore.Revision) pkstore.Swapped {
+func put(t *testing.T, s pkstore.Store, key, value string, old pkstore.Revision) pkstore.SwapResult {
 	t.Helper()
 	out, err := s.Swap(t.Context(), pkstore.Swap{Key: key, Value: []byte(value), Old: old})
 	assert.NilError(t, err)
@@ -34,13 +34,13 @@
 
 func swapFromStaleRevision(t *testing.T, s pkstore.Store) {
 	first := put(t, s, "k", "a", 0)
-	assert.Assert(t, first.Done)
+	assert.Assert(t, first.Succeeded)
 	second := put(t, s, "k", "b", 0)
-	assert.Assert(t, !second.Done)
+	assert.Assert(t, !second.Succeeded)
 	assert.Equal(t, string(second.Item.Value), "a")
 	assert.Equal(t, second.Item.Revision, first.Item.Revision)
 	third := put(t, s, "k", "c", first.Item.Revision)
-	assert.Assert(t, third.Done)
+	assert.Assert(t, third.Succeeded)
 	assert.Assert(t, third.Item.Revision > first.Item.Revision)
 }
 
@@ -48,8 +48,8 @@
 	created := put(t, s, "k", "a", 0)
 	out, err := s.Swap(t.Context(), pkstore.Swap{Key: "k", Old: created.Item.Revision, Delete: true})
 	assert.NilError(t, err)
-	assert.Assert(t, out.Done)
-	assert.Assert(t, put(t, s, "k", "b", 0).Done)
+	assert.Assert(t, out.Succeeded)
+	assert.Assert(t, put(t, s, "k", "b", 0).Succeeded)
 }
 
 func listByPrefix(t *testing.T, s pkstore.Store) {
@@ -88,7 +88,7 @@
 	put(t, s, "x", "other", 0)
 	out, err := s.Swap(t.Context(), pkstore.Swap{Key: "w/a", Old: ev.Item.Revision, Delete: true})
 	assert.NilError(t, err)
-	assert.Assert(t, out.Done)
+	assert.Assert(t, out.Succeeded)
 	assert.Assert(t, (<-events).Deleted)
 	cancel()
 	assert.Assert(t, <-ended != nil)
--- a/pkedge/control_test.go
+++ b/pkedge/control_test.go
@@ -69,9 +69,9 @@
 	writes int
 }
 
-func (s *refusingStore) Swap(context.Context, pkstore.Swap) (pkstore.Swapped, error) {
+func (s *refusingStore) Swap(context.Context, pkstore.Swap) (pkstore.SwapResult, error) {
 	s.writes++
-	return pkstore.Swapped{}, pkstore.ErrRefused
+	return pkstore.SwapResult{}, pkstore.ErrRefused
 }
 
 // Guards against frequent writes of the owner's key by an entry that the store refuses, since
--- a/pkedge/lease.go
+++ b/pkedge/lease.go
@@ -176,7 +176,7 @@
 	return err
 }
 
-func (d *Daemon) write(ctx context.Context, asker string, w pkstore.Swap) (pkstore.Swapped, error) {
+func (d *Daemon) write(ctx context.Context, asker string, w pkstore.Swap) (pkstore.SwapResult, error) {
 	out, err := d.Store.Swap(ctx, w)
 	d.recordStoreCall(callWrite, asker, err)
 	return out, err
@@ -193,14 +193,14 @@
 	w := pkstore.Swap{Key: d.memberKey(), Value: value, Lease: m.leaseID, Old: m.ownRevision}
 	m.mu.Unlock()
 	out, err := d.write(ctx, askerLease, w)
-	if err == nil && !out.Done {
+	if err == nil && !out.Succeeded {
 		w.Old = out.Item.Revision
 		out, err = d.write(ctx, askerLease, w)
 	}
 	if err != nil {
 		return err
 	}
-	*registered = out.Done
+	*registered = out.Succeeded
 	return nil
 }
 
--- a/pkedge/own.go
+++ b/pkedge/own.go
@@ -117,7 +117,7 @@
 	if out.Item.Revision >= m.ownerRevision {
 		m.owner, m.ownerRevision = pkid.EntryID(out.Item.Value), out.Item.Revision
 	}
-	if !out.Done || m.leaseID != id {
+	if !out.Succeeded || m.leaseID != id {
 		return false
 	}
 	m.lease.Terms = pklease.Terms{TTL: leaseTTL, Margin: leaseMargin}
--- a/pkedge/quarantine_test.go
+++ b/pkedge/quarantine_test.go
@@ -221,9 +221,9 @@
 	return 1, nil
 }
 
-func (s *recordingStore) Swap(_ context.Context, w pkstore.Swap) (pkstore.Swapped, error) {
+func (s *recordingStore) Swap(_ context.Context, w pkstore.Swap) (pkstore.SwapResult, error) {
 	s.writes = append(s.writes, w)
-	return pkstore.Swapped{Done: true}, nil
+	return pkstore.SwapResult{Succeeded: true}, nil
 }
 
 // Guards against losing a quarantined request if the store is unavailable at the last crash, and
--- a/pkedge/stalewatch.go
+++ b/pkedge/stalewatch.go
@@ -61,12 +61,12 @@
 		if !d.gossip.first.Load() || d.book.Table() == nil || d.store.isOpen() {
 			return
 		}
-		at, err := d.Feed.Reached(ctx)
+		at, err := d.Feed.StaleRevision(ctx)
 		d.recordStoreCall(callPeek, askerConfig, err)
 		if err != nil || at == seen {
 			return // failures are counted; lease renewals detect a lost store
 		}
-		item, err := d.Feed.Peek(ctx, d.ConfigKey)
+		item, err := d.Feed.LoadStale(ctx, d.ConfigKey)
 		d.recordStoreCall(callPeek, askerConfig, err)
 		if err != nil {
 			return
--- a/pkentry/owner.go
+++ b/pkentry/owner.go
@@ -121,7 +121,7 @@
 		return
 	}
 	swapped, err := e.ports.Store.Swap(ctx, pkstore.Swap{Key: key, Value: value, Lease: id})
-	if err != nil || !swapped.Done {
+	if err != nil || !swapped.Succeeded {
 		// The write may have succeeded although its response was lost; revoking the lease deletes
 		// the key.
 		_ = e.ports.Store.Revoke(ctx, id)
--- a/pketcd/client.go
+++ b/pketcd/client.go
@@ -73,7 +73,7 @@
 }
 
 // Swap writes if the key is at s.Old.
-func (c *Client) Swap(ctx context.Context, s pkstore.Swap) (pkstore.Swapped, error) {
+func (c *Client) Swap(ctx context.Context, s pkstore.Swap) (pkstore.SwapResult, error) {
 	key := []byte(s.Key)
 	write := RequestOp{Put: &PutRequest{Key: key, Value: s.Value, Lease: int64(s.Lease)}}
 	if s.Delete {
@@ -86,17 +86,17 @@
 	}
 	var out TxnResponse
 	if err := c.call(ctx, PathTxn, req, &out); err != nil {
-		return pkstore.Swapped{}, err
+		return pkstore.SwapResult{}, err
 	}
 	if out.Succeeded {
 		written := pkstore.Item{Key: s.Key, Value: s.Value, Revision: pkstore.Revision(out.Header.Revision)}
-		return pkstore.Swapped{Done: true, Item: written}, nil
+		return pkstore.SwapResult{Succeeded: true, Item: written}, nil
 	}
 	current := pkstore.Item{Key: s.Key}
 	if len(out.Responses) > 0 && out.Responses[0].Range != nil && len(out.Responses[0].Range.Kvs) > 0 {
 		current = item(out.Responses[0].Range.Kvs[0])
 	}
-	return pkstore.Swapped{Item: current}, nil
+	return pkstore.SwapResult{Item: current}, nil
 }
 
 // Grant creates a lease; ttl is rounded down to seconds, and at least one.
--- a/pkhead/publish.go
+++ b/pkhead/publish.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return Resolve(ctx, s, d.ID)
 	}
-	if swapped.Done {
+	if swapped.Succeeded {
 		return Outcome{Result: Accepted, Head: next}, nil
 	}
 	// The HTTP client may have retried the write, so the stored head can already
@@ -124,7 +124,7 @@
 	if err != nil {
 		return Outcome{}, err
 	}
-	if swapped.Done {
+	if swapped.Succeeded {
 		return out, nil
 	}
 	return outcomeOf(swapped.Item, id)
--- a/pkstore/store.go
+++ b/pkstore/store.go
@@ -43,10 +43,10 @@
 	Delete bool
 }
 
-// Swapped is the result of a Swap.
-type Swapped struct {
-	// Done says that the write took effect.
-	Done bool
+// SwapResult is the result of a Swap.
+type SwapResult struct {
+	// Succeeded says that the write took effect.
+	Succeeded bool
 	// Item is the current item of the key.
 	Item Item
 }
@@ -60,7 +60,7 @@
 	List(ctx context.Context, prefix string) ([]Item, Revision, error)
 	// Swap writes if the key is at s.Old; after an error other than ErrRefused the
 	// write may have taken effect.
-	Swap(ctx context.Context, s Swap) (Swapped, error)
+	Swap(ctx context.Context, s Swap) (SwapResult, error)
 	// Grant creates a lease that expires ttl after its last renewal.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
 	// Renew renews a lease; it returns ErrNoLease if the lease has expired.
@@ -78,9 +78,9 @@
 	// with the revision to continue from; it returns ErrCompacted if the caller
 	// must list again.
 	Changes(ctx context.Context, prefix string, after Revision) ([]Event, Revision, error)
-	// Peek returns the item at key from a stale read, which may lag by a few seconds
+	// LoadStale returns the item at key from a stale read, which may lag by a few seconds
 	// and costs less than Load; a missing key has Revision zero.
-	Peek(ctx context.Context, key string) (Item, error)
-	// Reached returns the store's revision from a stale read, at the same cost.
-	Reached(ctx context.Context) (Revision, error)
+	LoadStale(ctx context.Context, key string) (Item, error)
+	// StaleRevision returns the store's revision from a stale read, at the same cost.
+	StaleRevision(ctx context.Context) (Revision, error)
 }
