--- a/pkcontract/engine.go
+++ b/pkcontract/engine.go
@@ -20,8 +20,8 @@
 	Target pkid.TargetID
 }
 
-// Engine runs the contract tests of pkengine.Engine; open returns a new engine.
-func Engine(t *testing.T, open func(*testing.T) EngineUnderTest) {
+// TestEngine runs the contract tests of pkengine.TestEngine; open returns a new engine.
+func TestEngine(t *testing.T, open func(*testing.T) EngineUnderTest) {
 	t.Run("stream has every token once and its end", func(t *testing.T) { streamIsComplete(t, open(t)) })
 	t.Run("stream resumes at an index", func(t *testing.T) { streamResumes(t, open(t)) })
 	t.Run("wrong version is rejected as not run", func(t *testing.T) { rejectsWrongVersion(t, open(t)) })
--- a/pkcontract/memory_test.go
+++ b/pkcontract/memory_test.go
@@ -7,5 +7,5 @@
 )
 
 func TestMemoryContract(t *testing.T) {
-	Store(t, func(*testing.T) pkstore.Store { return NewMemory() })
+	TestStore(t, func(*testing.T) pkstore.Store { return NewMemory() })
 }
--- a/pkcontract/store.go
+++ b/pkcontract/store.go
@@ -11,8 +11,8 @@
 	"peridotknot.example/pkstore"
 )
 
-// Store runs the contract tests of pkstore.Store; open returns an empty store.
-func Store(t *testing.T, open func(*testing.T) pkstore.Store) {
+// TestStore runs the contract tests of pkstore.TestStore; open returns an empty store.
+func TestStore(t *testing.T, open func(*testing.T) pkstore.Store) {
 	t.Run("missing key has no revision", func(t *testing.T) {
 		missing, err := open(t).Load(t.Context(), "k")
 		assert.NilError(t, err)
--- a/pketcd/client_test.go
+++ b/pketcd/client_test.go
@@ -17,7 +17,7 @@
 )
 
 func TestClientContract(t *testing.T) {
-	pkcontract.Store(t, func(t *testing.T) pkstore.Store {
+	pkcontract.TestStore(t, func(t *testing.T) pkstore.Store {
 		srv := httptest.NewServer(pkstandin.NewKV())
 		t.Cleanup(srv.CloseClientConnections)
 		return pketcd.New(strings.TrimPrefix(srv.URL, "http://"), pkconn.DefaultOptions())
--- a/pkstandin/contract_test.go
+++ b/pkstandin/contract_test.go
@@ -29,7 +29,7 @@
 }
 
 func TestEngineContract(t *testing.T) {
-	pkcontract.Engine(t, func(t *testing.T) pkcontract.EngineUnderTest {
+	pkcontract.TestEngine(t, func(t *testing.T) pkcontract.EngineUnderTest {
 		env := startEnvironment(t)
 		c := pkengine.NewClient(pkconn.DefaultOptions(), time.Minute)
 		t.Cleanup(func() { assert.NilError(t, c.Close()) })
