--- a/pkentry/targets.go
+++ b/pkentry/targets.go
@@ -28,7 +28,7 @@
 		call, cancel := context.WithTimeout(ctx, storeTimeout)
 		defer cancel()
 		list, err := e.ports.Platform.VMs(call)
-		if errors.Is(err, pkplatform.ErrSame) {
+		if errors.Is(err, pkplatform.ErrUnchanged) {
 			return
 		}
 		if err != nil {
--- a/pkplatform/client.go
+++ b/pkplatform/client.go
@@ -45,8 +45,8 @@
 	etag string
 }
 
-// ErrSame is returned if the list has not changed since it was last read.
-var ErrSame = errors.New("the VM list is unchanged")
+// ErrUnchanged is returned if the list has not changed since it was last read.
+var ErrUnchanged = errors.New("the VM list is unchanged")
 
 var _ VMList = (*Client)(nil)
 
@@ -99,7 +99,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode == http.StatusNotModified {
-		return "", ErrSame
+		return "", ErrUnchanged
 	}
 	if resp.StatusCode != http.StatusOK {
 		return "", fmt.Errorf("platform: %s answered %d", url, resp.StatusCode)
--- a/pkstandin/contract_test.go
+++ b/pkstandin/contract_test.go
@@ -48,7 +48,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, len(list), 1)
 	_, err = c.VMs(t.Context())
-	assert.Assert(t, errors.Is(err, pkplatform.ErrSame), err)
+	assert.Assert(t, errors.Is(err, pkplatform.ErrUnchanged), err)
 	c.Forget()
 	_, err = c.VMs(t.Context())
 	assert.NilError(t, err)
