--- a/pkanswer/run.go
+++ b/pkanswer/run.go
@@ -41,7 +41,7 @@
 
 // Sink receives the tokens of an answer in order; an error means that the caller has disconnected.
 type Sink interface {
-	Token(index pkid.Index, text string) error
+	Token(index pkid.TokenIndex, text string) error
 }
 
 // Router chooses a chain of targets and leaves out those in avoid.
@@ -115,7 +115,7 @@
 // detectCrash records a crash against the request if the attempt delivered no token and its engine
 // no longer runs. Otherwise a request that crashes engines would be retried on one engine after
 // another.
-func (a *run) detectCrash(ctx context.Context, first *pktarget.Target, startIndex pkid.Index) {
+func (a *run) detectCrash(ctx context.Context, first *pktarget.Target, startIndex pkid.TokenIndex) {
 	if a.relay.Next() > startIndex || ctx.Err() != nil || first.Leaving() {
 		return
 	}
--- a/pkanswer/run_test.go
+++ b/pkanswer/run_test.go
@@ -50,7 +50,7 @@
 
 type failure struct {
 	fault fault
-	at    pkid.Index
+	at    pkid.TokenIndex
 }
 
 func (s *scriptedEngine) Open(_ context.Context, _ string, o pkengine.OpenRequest) (pkengine.Stream, error) {
@@ -65,7 +65,7 @@
 	case unreachable:
 		return nil, &pkverdict.Error{Verdict: pkverdict.NotRun, Reason: pkverdict.ReasonTargetLost, Err: errors.New("no connection")}
 	default:
-		return &stream{failure: f, next: o.Next, end: pkid.Index(o.MaxTokens), lost: o.Route[len(o.Route)-1].Target}, nil
+		return &stream{failure: f, next: o.Next, end: pkid.TokenIndex(o.MaxTokens), lost: o.Route[len(o.Route)-1].Target}, nil
 	}
 }
 
@@ -85,8 +85,8 @@
 // stream sends the tokens of an attempt up to its failure.
 type stream struct {
 	failure
-	next          pkid.Index
-	end           pkid.Index
+	next          pkid.TokenIndex
+	end           pkid.TokenIndex
 	lost          pkid.TargetID
 	heartbeatSent bool
 }
@@ -139,7 +139,7 @@
 
 func (s *stream) Close() error { return nil }
 
-func word(i pkid.Index) string { return fmt.Sprintf("w%d ", i) }
+func word(i pkid.TokenIndex) string { return fmt.Sprintf("w%d ", i) }
 
 type sink struct {
 	text strings.Builder
@@ -147,7 +147,7 @@
 	last time.Time
 }
 
-func (s *sink) Token(_ pkid.Index, text string) error {
+func (s *sink) Token(_ pkid.TokenIndex, text string) error {
 	now := time.Now()
 	if !s.last.IsZero() {
 		s.gap = max(s.gap, now.Sub(s.last))
@@ -199,7 +199,7 @@
 
 func fullAnswer() string {
 	var b strings.Builder
-	for i := range pkid.Index(answerTokens) {
+	for i := range pkid.TokenIndex(answerTokens) {
 		b.WriteString(word(i))
 	}
 	return b.String()
@@ -209,7 +209,7 @@
 // two attempts in a row fail.
 func TestAnswerSurvivesEngineFaults(t *testing.T) {
 	faults := []fault{refuses, unreachable, dies, loses, skips, repeats, endsEarly, overcounts, stalls}
-	indexes := []pkid.Index{0, 1, answerTokens / 2, answerTokens - 1, answerTokens}
+	indexes := []pkid.TokenIndex{0, 1, answerTokens / 2, answerTokens - 1, answerTokens}
 	for _, first := range faults {
 		for _, at := range indexes {
 			for _, second := range append([]fault{none}, faults...) {
@@ -274,7 +274,7 @@
 // quarantined. Failures of engines that still run or have sent a token do not count as crashes.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	for name, c := range map[string]struct {
-		at      pkid.Index
+		at      pkid.TokenIndex
 		crashes bool
 		opened  int
 		reason  pkverdict.Reason
@@ -286,7 +286,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				e := &scriptedEngine{t: t, crashes: c.crashes}
-				for i := range pkid.Index(20) {
+				for i := range pkid.TokenIndex(20) {
 					e.script = append(e.script, failure{dies, c.at * (1 + i)})
 				}
 				r := &Runner{Engine: e, Router: &router{spares: 9}, Options: DefaultOptions()}
@@ -327,4 +327,4 @@
 
 type brokenSink struct{}
 
-func (brokenSink) Token(pkid.Index, string) error { return errors.New("broken pipe") }
+func (brokenSink) Token(pkid.TokenIndex, string) error { return errors.New("broken pipe") }
--- a/pkcontract/engine.go
+++ b/pkcontract/engine.go
@@ -41,19 +41,19 @@
 }
 
 // readTokens reads a stream to its end and returns its tokens by index.
-func (e EngineUnderTest) readTokens(t *testing.T, o pkengine.OpenRequest) map[pkid.Index]string {
+func (e EngineUnderTest) readTokens(t *testing.T, o pkengine.OpenRequest) map[pkid.TokenIndex]string {
 	t.Helper()
 	s, err := e.Engine.Open(t.Context(), e.Addr, o)
 	assert.NilError(t, err)
 	defer func() { assert.NilError(t, s.Close()) }()
-	out := map[pkid.Index]string{}
+	out := map[pkid.TokenIndex]string{}
 	for {
 		ev, err := s.Next()
 		assert.NilError(t, err)
 		switch {
 		case ev.Heartbeat:
 		case ev.End != "":
-			assert.Equal(t, ev.Total, pkid.Index(o.MaxTokens))
+			assert.Equal(t, ev.Total, pkid.TokenIndex(o.MaxTokens))
 			return out
 		default:
 			_, duplicate := out[ev.Index]
@@ -67,7 +67,7 @@
 	const tokens = 20
 	out := e.readTokens(t, e.request(t, tokens))
 	assert.Equal(t, len(out), tokens)
-	for i := range pkid.Index(tokens) {
+	for i := range pkid.TokenIndex(tokens) {
 		assert.Assert(t, out[i] != "", strconv.Itoa(int(i)))
 	}
 }
--- a/pkedge/load_test.go
+++ b/pkedge/load_test.go
@@ -51,7 +51,7 @@
 	return &pklayers.Model{
 		Layers: 80, LayerMB: 1750, TokenBytes: 393000, ActivationBytes: 19700, LinkMbps: 4100, EngineTokens: 100_000,
 		Step: 850 * time.Microsecond, PrefillPerSecond: 294_000, Chunk: 512, PromptTokens: 762, AnswerTokens: 179,
-		Kinds: map[pkid.Kind]pklayers.Accelerator{
+		Kinds: map[pkid.AcceleratorKind]pklayers.Accelerator{
 			"h100": {MemoryMB: 72000, StepFactor: 1.4, PrefillFactor: 1}, "a100s": {MemoryMB: 36000, StepFactor: 3.1, PrefillFactor: 3.2},
 			"l4": {MemoryMB: 21600, StepFactor: 16, PrefillFactor: 8.2}, "t4": {MemoryMB: 14400, StepFactor: 15, PrefillFactor: 15},
 		},
@@ -61,7 +61,7 @@
 func mixedEngines(m *pklayers.Model) []pkreplica.Info {
 	counts := []struct {
 		dc   pkid.DataCenter
-		kind pkid.Kind
+		kind pkid.AcceleratorKind
 		n    int
 	}{
 		{"a", "a100s", 4},
--- a/pkedge/own.go
+++ b/pkedge/own.go
@@ -121,7 +121,7 @@
 		return false
 	}
 	m.lease.Terms = pklease.Terms{TTL: leaseTTL, Margin: leaseMargin}
-	m.lease.Granted(sent, pkid.Fence(out.Item.Revision))
+	m.lease.Granted(sent, pkid.FencingToken(out.Item.Revision))
 	d.log.Info("owns the pools", "revision", out.Item.Revision.String())
 	return true
 }
--- a/pkedge/reroute_test.go
+++ b/pkedge/reroute_test.go
@@ -44,7 +44,7 @@
 	return d, &pkconfig.Service{ID: "models", Engine: &pklayers.Model{
 		Layers: 80, LayerMB: 1750, TokenBytes: 426000, ActivationBytes: 21300, LinkMbps: 9300,
 		Step: 850 * time.Microsecond, PrefillPerSecond: 272000, Chunk: 512, PromptTokens: 772, AnswerTokens: 145,
-		Kinds: map[pkid.Kind]pklayers.Accelerator{"l4": {MemoryMB: 90000, StepFactor: 16, PrefillFactor: 8.2}},
+		Kinds: map[pkid.AcceleratorKind]pklayers.Accelerator{"l4": {MemoryMB: 90000, StepFactor: 16, PrefillFactor: 8.2}},
 	}}
 }
 
--- a/pkedge/restart_test.go
+++ b/pkedge/restart_test.go
@@ -24,7 +24,7 @@
 	return e.report, nil
 }
 
-func withBirth(info pkreplica.Info, b pkid.Birth) pkreplica.Info {
+func withBirth(info pkreplica.Info, b pkid.StartTime) pkreplica.Info {
 	info.Born = b
 	return info
 }
--- a/pkedge/scale_bench_test.go
+++ b/pkedge/scale_bench_test.go
@@ -16,7 +16,7 @@
 // scaleDaemon returns a daemon that knows the given number of engines and has requests at some.
 func scaleDaemon(engines int) (*Daemon, *pkconfig.Service) {
 	m := mixedModel()
-	kinds := []pkid.Kind{"h100", "a100s", "a100s", "l4", "l4", "l4", "l4", "l4", "t4", "t4", "t4", "t4"}
+	kinds := []pkid.AcceleratorKind{"h100", "a100s", "a100s", "l4", "l4", "l4", "l4", "l4", "t4", "t4", "t4", "t4"}
 	var cards []pklayers.Placement
 	for i := range engines {
 		dc := pkid.DataCenter(fmt.Sprintf("d%d", i%3))
--- a/pkedge/suspect.go
+++ b/pkedge/suspect.go
@@ -32,7 +32,7 @@
 	fault fault
 	// born identifies the start of the target and entry the revision of its list entry that the
 	// suspicion is based on.
-	born  pkid.Birth
+	born  pkid.StartTime
 	entry pkstore.Revision
 }
 
--- a/pkedge/watch.go
+++ b/pkedge/watch.go
@@ -50,7 +50,7 @@
 type process struct {
 	id   pkid.TargetID
 	addr string
-	born pkid.Birth
+	born pkid.StartTime
 }
 
 // watchedEngines returns the engines that this entry watches at now.
--- a/pkengine/engine.go
+++ b/pkengine/engine.go
@@ -31,22 +31,22 @@
 	PromptTokens pkid.Tokens    `json:"prompt_tokens"`
 	// Delivered is the text that the caller has already received, Next the index of the first
 	// token that it still needs.
-	Delivered  string      `json:"delivered,omitempty"`
-	Next       pkid.Index  `json:"next,omitempty"`
-	MaxTokens  pkid.Tokens `json:"max_tokens"`
-	Priority   int         `json:"priority,omitempty"`
-	DeadlineMS int64       `json:"deadline_ms"`
+	Delivered  string          `json:"delivered,omitempty"`
+	Next       pkid.TokenIndex `json:"next,omitempty"`
+	MaxTokens  pkid.Tokens     `json:"max_tokens"`
+	Priority   int             `json:"priority,omitempty"`
+	DeadlineMS int64           `json:"deadline_ms"`
 }
 
 // Event is one line of a stream: a token, a heartbeat, the end or the loss of a stage.
 type Event struct {
-	Index     pkid.Index `json:"i"`
-	Text      string     `json:"t,omitempty"`
-	Heartbeat bool       `json:"beat,omitempty"`
+	Index     pkid.TokenIndex `json:"i"`
+	Text      string          `json:"t,omitempty"`
+	Heartbeat bool            `json:"beat,omitempty"`
 	// End is the finish reason on the last event of a complete answer, and Total the number of
 	// tokens in the answer.
-	End   string     `json:"end,omitempty"`
-	Total pkid.Index `json:"total,omitempty"`
+	End   string          `json:"end,omitempty"`
+	Total pkid.TokenIndex `json:"total,omitempty"`
 	// LostStage names a stage of the route that the engines lost.
 	LostStage pkid.TargetID `json:"lost,omitempty"`
 }
@@ -73,7 +73,7 @@
 	// Loading is set while the engine carries out an order.
 	Loading bool `json:"loading,omitempty"`
 	// Fence is the highest fencing token that the engine has seen.
-	Fence pkid.Fence `json:"fence,omitempty"`
+	Fence pkid.FencingToken `json:"fence,omitempty"`
 	// Boot changes when the engine restarts.
 	Boot string `json:"boot,omitempty"`
 }
@@ -82,13 +82,13 @@
 // engine that does not enforce fencing tokens may apply an order of a former owner after one of its
 // successor; since an order is declarative, the successor corrects that by sending it again.
 type Order struct {
-	Fence    pkid.Fence       `json:"fence"`
-	Model    pkid.ModelID     `json:"model"`
-	Version  pkid.Version     `json:"version"`
-	Adapters []pkid.AdapterID `json:"adapters,omitempty"`
-	Role     pkid.Role        `json:"role,omitempty"`
-	First    pkid.Layer       `json:"first"`
-	End      pkid.Layer       `json:"end"`
+	Fence    pkid.FencingToken `json:"fence"`
+	Model    pkid.ModelID      `json:"model"`
+	Version  pkid.Version      `json:"version"`
+	Adapters []pkid.AdapterID  `json:"adapters,omitempty"`
+	Role     pkid.Role         `json:"role,omitempty"`
+	First    pkid.Layer        `json:"first"`
+	End      pkid.Layer        `json:"end"`
 }
 
 // SatisfiedBy returns whether an engine that reports l has reached the state in o.
--- a/pkengine/parse.go
+++ b/pkengine/parse.go
@@ -58,7 +58,7 @@
 
 // parseIndex parses the digits at the start of b and returns their count, which is 0 if they are
 // not a valid JSON number or the value exceeds math.MaxInt32.
-func parseIndex(b []byte) (pkid.Index, int) {
+func parseIndex(b []byte) (pkid.TokenIndex, int) {
 	value, n := 0, 0
 	for n < len(b) && b[n] >= '0' && b[n] <= '9' {
 		value = 10*value + int(b[n]-'0')
@@ -70,7 +70,7 @@
 	if n > 1 && b[0] == '0' {
 		return 0, 0
 	}
-	return pkid.Index(value), n
+	return pkid.TokenIndex(value), n
 }
 
 // isLiteral returns whether the content of a JSON string needs no decoding: it has no escapes and
--- a/pkentry/chat.go
+++ b/pkentry/chat.go
@@ -210,7 +210,7 @@
 }
 
 // Token writes or collects a token.
-func (a *answerSink) Token(index pkid.Index, text string) error {
+func (a *answerSink) Token(index pkid.TokenIndex, text string) error {
 	if a.stream != nil {
 		return a.stream.Token(index, text)
 	}
@@ -233,7 +233,7 @@
 }
 
 // Token records the latency of a token and passes it to the wrapped sink.
-func (t *timedSink) Token(index pkid.Index, text string) error {
+func (t *timedSink) Token(index pkid.TokenIndex, text string) error {
 	now := time.Now()
 	if index == 0 {
 		t.call.metrics.firstToken.Observe(now.Sub(t.last).Seconds())
--- a/pkentry/owner.go
+++ b/pkentry/owner.go
@@ -129,7 +129,7 @@
 	}
 	o.id = id
 	o.ordered = map[pkid.TargetID]pkid.Range{}
-	o.lease.Granted(sent, pkid.Fence(swapped.Item.Revision))
+	o.lease.Granted(sent, pkid.FencingToken(swapped.Item.Revision))
 	e.log.Info("acquired pool ownership", "pool", pool, "fence", o.lease.Fence())
 }
 
--- a/pkid/id.go
+++ b/pkid/id.go
@@ -21,9 +21,9 @@
 // TargetID identifies a replica, a model engine or a plain service, on one VM.
 type TargetID string
 
-// Birth is the start time of a replica, in Unix milliseconds of its own clock; zero if unknown.
+// StartTime is the start time of a replica, in Unix milliseconds of its own clock; zero if unknown.
 // Of two instances with the same id, the one with the later start is current.
-type Birth int64
+type StartTime int64
 
 // EntryID identifies one of the router's own VMs.
 type EntryID string
@@ -40,8 +40,8 @@
 // RequestID identifies a caller's request across all its attempts.
 type RequestID string
 
-// Kind is a type of accelerator.
-type Kind string
+// AcceleratorKind is a type of accelerator.
+type AcceleratorKind string
 
 // Role is the phase of requests that an engine serves.
 type Role string
@@ -56,14 +56,14 @@
 // Revision is the number of an accepted manifest; a higher one replaces a lower one.
 type Revision uint64
 
-// Fence is a fencing token: the store revision at which a lease was acquired.
-type Fence uint64
+// FencingToken is a fencing token: the store revision at which a lease was acquired.
+type FencingToken uint64
 
 // Attempt is the number of an attempt of a request, starting at 1.
 type Attempt uint32
 
-// Index is the position of a token in a response, starting at 0.
-type Index int
+// TokenIndex is the position of a token in a response, starting at 0.
+type TokenIndex int
 
 // Tokens is a number of tokens.
 type Tokens int
--- a/pklayers/group.go
+++ b/pklayers/group.go
@@ -12,7 +12,7 @@
 func groups(m *Model, engines []Placement) []group {
 	var out []group
 	layers := map[pkid.DataCenter]int{}
-	nominal := map[pkid.Kind]int{}
+	nominal := map[pkid.AcceleratorKind]int{}
 	var dataCenters []pkid.DataCenter
 	for i := range engines {
 		dc := engines[i].DataCenter
@@ -52,7 +52,7 @@
 
 // nominalLayers returns how many layers an accelerator holds beside the nominal capacity, or in
 // defaultLayerShare of its memory where the nominal capacity is unknown.
-func (m *Model) nominalLayers(k pkid.Kind) int {
+func (m *Model) nominalLayers(k pkid.AcceleratorKind) int {
 	n := m.MaxLayers(k)
 	if m.nominalCapacity() == 0 {
 		return max(int(defaultLayerShare*float64(n)), 1)
@@ -65,7 +65,7 @@
 
 // minCapacityLayers returns how many layers an accelerator holds if it keeps only minCapacityShare
 // of the nominal capacity.
-func (m *Model) minCapacityLayers(k pkid.Kind) int {
+func (m *Model) minCapacityLayers(k pkid.AcceleratorKind) int {
 	n := m.MaxLayers(k)
 	for n > 1 && m.KVCapacity(k, n) < minCapacityShare*m.nominalCapacity() {
 		n--
--- a/pklayers/model.go
+++ b/pklayers/model.go
@@ -42,7 +42,7 @@
 	PromptTokens pkid.Tokens
 	AnswerTokens pkid.Tokens
 	// Kinds maps each kind of accelerator to its properties.
-	Kinds map[pkid.Kind]Accelerator
+	Kinds map[pkid.AcceleratorKind]Accelerator
 	// delays is the one-way delay between two data centres.
 	delays map[pair]time.Duration
 }
@@ -67,7 +67,7 @@
 }
 
 // MaxLayers returns how many layers fit on an accelerator that keeps no memory for KV cache.
-func (m *Model) MaxLayers(k pkid.Kind) int {
+func (m *Model) MaxLayers(k pkid.AcceleratorKind) int {
 	if m.LayerMB <= 0 {
 		return 0
 	}
@@ -75,7 +75,7 @@
 }
 
 // KVCapacity returns the KV-cache capacity, in tokens, beside n layers; negative if they do not fit.
-func (m *Model) KVCapacity(k pkid.Kind, n int) float64 {
+func (m *Model) KVCapacity(k pkid.AcceleratorKind, n int) float64 {
 	const bytesPerMB = 1e6
 	if n <= 0 || m.Layers <= 0 {
 		return 0
@@ -85,12 +85,12 @@
 }
 
 // StepTime returns the time of a decode step over n layers.
-func (m *Model) StepTime(k pkid.Kind, n int) time.Duration {
+func (m *Model) StepTime(k pkid.AcceleratorKind, n int) time.Duration {
 	return time.Duration(float64(m.Step) * m.Kinds[k].StepFactor * float64(n) / float64(max(m.Layers, 1)))
 }
 
 // PrefillTime returns the time to prefill tokens over n layers.
-func (m *Model) PrefillTime(k pkid.Kind, n int, tokens float64) time.Duration {
+func (m *Model) PrefillTime(k pkid.AcceleratorKind, n int, tokens float64) time.Duration {
 	if m.PrefillPerSecond <= 0 {
 		return 0
 	}
--- a/pklayers/path.go
+++ b/pklayers/path.go
@@ -10,7 +10,7 @@
 type Engine struct {
 	ID         pkid.TargetID
 	DataCenter pkid.DataCenter
-	Kind       pkid.Kind
+	Kind       pkid.AcceleratorKind
 	Held       pkid.Range
 	// Cost is the time that one layer takes for one token under the present load.
 	Cost time.Duration
--- a/pklayers/plan.go
+++ b/pklayers/plan.go
@@ -53,7 +53,7 @@
 type Placement struct {
 	ID         pkid.TargetID
 	DataCenter pkid.DataCenter
-	Kind       pkid.Kind
+	Kind       pkid.AcceleratorKind
 	// Held is the range that it holds, or was ordered to hold and is loading.
 	Held pkid.Range
 	// JustJoined says that it joined so recently that the engine it replaces may not have left yet.
--- a/pklayers/plan_test.go
+++ b/pklayers/plan_test.go
@@ -17,7 +17,7 @@
 		Layers: 80, LayerMB: 1750, TokenBytes: 590000, ActivationBytes: 29500, LinkMbps: 11000,
 		Step: 850 * time.Microsecond, PrefillPerSecond: 196000, Chunk: 512, LoadTime: 14 * time.Second,
 		PromptTokens: 772, AnswerTokens: 174,
-		Kinds: map[pkid.Kind]Accelerator{
+		Kinds: map[pkid.AcceleratorKind]Accelerator{
 			"h100": {MemoryMB: 72000, StepFactor: 1.4, PrefillFactor: 1}, "a100s": {MemoryMB: 36000, StepFactor: 3.1, PrefillFactor: 3.2},
 			"l4": {MemoryMB: 21600, StepFactor: 16, PrefillFactor: 8.2}, "t4": {MemoryMB: 14400, StepFactor: 15, PrefillFactor: 15},
 		},
@@ -25,7 +25,7 @@
 }
 
 // poolOf returns empty engines by data centre and kind.
-func poolOf(counts map[pkid.DataCenter]map[pkid.Kind]int) []Placement {
+func poolOf(counts map[pkid.DataCenter]map[pkid.AcceleratorKind]int) []Placement {
 	var out []Placement
 	for _, dc := range slices.Sorted(maps.Keys(counts)) {
 		for _, kind := range slices.Sorted(maps.Keys(counts[dc])) {
@@ -39,7 +39,7 @@
 
 // testPool returns 39 engines of four kinds in three data centres.
 func testPool() []Placement {
-	return poolOf(map[pkid.DataCenter]map[pkid.Kind]int{
+	return poolOf(map[pkid.DataCenter]map[pkid.AcceleratorKind]int{
 		"a": {"h100": 1, "a100s": 1, "l4": 5, "t4": 7},
 		"b": {"a100s": 1, "l4": 8, "t4": 3},
 		"c": {"a100s": 2, "l4": 4, "t4": 7},
@@ -108,7 +108,7 @@
 	m := testModel()
 	m.TokenBytes, m.ActivationBytes, m.LinkMbps, m.PrefillPerSecond, m.EngineTokens = 426000, 21300, 9300, 272000, 100_000
 	delete(m.Kinds, "h100")
-	return m, poolOf(map[pkid.DataCenter]map[pkid.Kind]int{
+	return m, poolOf(map[pkid.DataCenter]map[pkid.AcceleratorKind]int{
 		"a": {"a100s": 2, "l4": 5, "t4": 8}, "b": {"a100s": 1, "l4": 7, "t4": 5}, "c": {"a100s": 2, "l4": 3, "t4": 5},
 	})
 }
@@ -213,7 +213,7 @@
 func TestSmallPoolHoldsAllLayers(t *testing.T) {
 	m := testModel()
 	for n := 8; n <= 12; n++ {
-		pool := applyPlan(t, m, poolOf(map[pkid.DataCenter]map[pkid.Kind]int{"a": {"l4": n/2 + n%2}, "b": {"l4": n / 2}}))
+		pool := applyPlan(t, m, poolOf(map[pkid.DataCenter]map[pkid.AcceleratorKind]int{"a": {"l4": n/2 + n%2}, "b": {"l4": n / 2}}))
 		assert.Assert(t, minCopies(m, pool) >= 1, "%d engines", n)
 		for gone := range pool {
 			left := slices.Delete(slices.Clone(pool), gone, gone+1)
@@ -332,7 +332,7 @@
 
 // largePool returns 98 engines in three data centres.
 func largePool() []Placement {
-	return poolOf(map[pkid.DataCenter]map[pkid.Kind]int{
+	return poolOf(map[pkid.DataCenter]map[pkid.AcceleratorKind]int{
 		"a": {"h100": 1, "a100s": 2, "l4": 13, "t4": 18},
 		"b": {"h100": 1, "a100s": 2, "l4": 20, "t4": 9},
 		"c": {"a100s": 4, "l4": 11, "t4": 17},
@@ -355,7 +355,7 @@
 // Guards against small data centres that hold the same layers: together they must hold all.
 func TestSmallDataCentersShareCopies(t *testing.T) {
 	m := testModel()
-	placements := applyPlan(t, m, poolOf(map[pkid.DataCenter]map[pkid.Kind]int{
+	placements := applyPlan(t, m, poolOf(map[pkid.DataCenter]map[pkid.AcceleratorKind]int{
 		"a": {"l4": 5}, "b": {"l4": 5}, "c": {"l4": 30}, "d": {"t4": 4},
 	}))
 	assert.Assert(t, minCopies(m, inGroup(placements, group{"a": true, "b": true, "d": true})) >= 1)
@@ -385,7 +385,7 @@
 func TestFastEnginesFormPipelineWithinDataCenter(t *testing.T) {
 	m := testModel()
 	m.TokenBytes, m.LinkMbps, m.EngineTokens = 426000, 6300, 100_000
-	placements := applyPlan(t, m, poolOf(map[pkid.DataCenter]map[pkid.Kind]int{
+	placements := applyPlan(t, m, poolOf(map[pkid.DataCenter]map[pkid.AcceleratorKind]int{
 		"a": {"h100": 1, "a100s": 2, "l4": 17, "t4": 25},
 		"b": {"h100": 1, "a100s": 4, "l4": 25, "t4": 12},
 		"c": {"a100s": 6, "l4": 14, "t4": 24},
--- a/pklayers/pool.go
+++ b/pklayers/pool.go
@@ -24,11 +24,11 @@
 	total   layerCapacity
 	// fastKinds are the kinds close to the fastest in speed, if there are slower ones; fastByGroup
 	// and fastTotal are the capacity of their engines.
-	fastKinds   map[pkid.Kind]bool
+	fastKinds   map[pkid.AcceleratorKind]bool
 	fastByGroup []layerCapacity
 	fastTotal   layerCapacity
 	// nominal caches nominalLayers by kind.
-	nominal map[pkid.Kind]int
+	nominal map[pkid.AcceleratorKind]int
 	// freshMin caches freshMinCapacity.
 	freshMin []int64
 	// shortages is the scratch buffer of scarcestRange.
@@ -37,7 +37,7 @@
 
 // newPool sums up the capacity of the engines. Planning modifies the slice.
 func newPool(m *Model, engines []Placement) *pool {
-	p := &pool{m: m, engines: engines, groups: groups(m, engines), fastKinds: m.fastKinds(engines), nominal: map[pkid.Kind]int{}}
+	p := &pool{m: m, engines: engines, groups: groups(m, engines), fastKinds: m.fastKinds(engines), nominal: map[pkid.AcceleratorKind]int{}}
 	p.total, p.fastTotal = make(layerCapacity, m.Layers), make(layerCapacity, m.Layers)
 	for range p.groups {
 		p.byGroup = append(p.byGroup, make(layerCapacity, m.Layers))
@@ -85,7 +85,7 @@
 // hasGap reports whether some layer is held by no engine, so that no request can be served.
 func (p *pool) hasGap() bool { return slices.Min(p.total) == 0 }
 
-func (p *pool) nominalLayers(k pkid.Kind) int {
+func (p *pool) nominalLayers(k pkid.AcceleratorKind) int {
 	n, known := p.nominal[k]
 	if !known {
 		n = p.m.nominalLayers(k)
@@ -123,7 +123,7 @@
 // all data centres, so that they form pipelines of their own and a replacement closes the gap of
 // the one it replaces rather than reinforcing slow engines. Capacity outside the group weighs less,
 // so that streams do not cross links needlessly.
-func (p *pool) scarcestRange(g int, k pkid.Kind, n int) pkid.Range {
+func (p *pool) scarcestRange(g int, k pkid.AcceleratorKind, n int) pkid.Range {
 	if p.shortages == nil {
 		p.shortages = make([]float64, p.m.Layers)
 	}
@@ -156,11 +156,11 @@
 }
 
 // fastKinds returns the kinds within fastRatio of the fastest engine; none if all engines are.
-func (m *Model) fastKinds(engines []Placement) map[pkid.Kind]bool {
+func (m *Model) fastKinds(engines []Placement) map[pkid.AcceleratorKind]bool {
 	if len(engines) == 0 {
 		return nil
 	}
-	kinds := map[pkid.Kind]bool{}
+	kinds := map[pkid.AcceleratorKind]bool{}
 	fastest := m.Kinds[engines[0].Kind].StepFactor
 	slowest := fastest
 	for i := range engines {
--- a/pklayers/scale_test.go
+++ b/pklayers/scale_test.go
@@ -14,7 +14,7 @@
 
 // fleetPool returns engines of four kinds in a number of data centres.
 func fleetPool(engines, centers int) []Placement {
-	kinds := []pkid.Kind{"h100", "a100s", "a100s", "a100s", "l4", "l4", "l4", "l4", "l4", "l4", "t4", "t4", "t4", "t4", "t4"}
+	kinds := []pkid.AcceleratorKind{"h100", "a100s", "a100s", "a100s", "l4", "l4", "l4", "l4", "l4", "l4", "t4", "t4", "t4", "t4", "t4"}
 	var out []Placement
 	for i := range engines {
 		dc := pkid.DataCenter(fmt.Sprintf("d%02d", i%centers))
--- a/pklease/lease.go
+++ b/pklease/lease.go
@@ -20,14 +20,14 @@
 // Lease is the lease of an owner; the zero value is not held.
 type Lease struct {
 	Terms Terms
-	fence pkid.Fence
+	fence pkid.FencingToken
 	until time.Time
 	began time.Time
 }
 
 // Granted records that the store granted the lease in reply to a request sent at sent. The fencing
 // token is the store revision of the owner's key.
-func (l *Lease) Granted(sent time.Time, fence pkid.Fence) {
+func (l *Lease) Granted(sent time.Time, fence pkid.FencingToken) {
 	l.fence = fence
 	l.began = sent
 	l.until = sent.Add(l.Terms.TTL - l.Terms.Margin)
@@ -48,7 +48,7 @@
 func (l *Lease) Lost() { l.fence = 0 }
 
 // Fence returns the fencing token; zero is none.
-func (l *Lease) Fence() pkid.Fence { return l.fence }
+func (l *Lease) Fence() pkid.FencingToken { return l.fence }
 
 // MayAct reports whether the owner may act at now.
 func (l *Lease) MayAct(now time.Time) bool { return l.fence != 0 && now.Before(l.until) }
--- a/pklease/lease_test.go
+++ b/pklease/lease_test.go
@@ -47,11 +47,11 @@
 // target is an engine that holds what the last accepted order says.
 type target struct {
 	fenced bool
-	fence  pkid.Fence
+	fence  pkid.FencingToken
 	holds  string
 }
 
-func (e *target) accept(fence pkid.Fence, wants string) {
+func (e *target) accept(fence pkid.FencingToken, wants string) {
 	if e.fenced && fence < e.fence {
 		return
 	}
@@ -73,7 +73,7 @@
 // inFlight is an order on its way to the engine.
 type inFlight struct {
 	at    time.Time
-	fence pkid.Fence
+	fence pkid.FencingToken
 	wants string
 }
 
--- a/pkmeasure/state.go
+++ b/pkmeasure/state.go
@@ -72,7 +72,7 @@
 }
 
 func makeVMList(n int) []pktarget.ListedTarget {
-	kinds := []pkid.Kind{"a", "b", "c", "d", "e"}
+	kinds := []pkid.AcceleratorKind{"a", "b", "c", "d", "e"}
 	var out []pktarget.ListedTarget
 	for i := range n {
 		id := pkid.TargetID(fmt.Sprintf("model-pool-%d-%s-%d", i%4*8, kinds[i%len(kinds)], i))
--- a/pkopenai/stream.go
+++ b/pkopenai/stream.go
@@ -63,7 +63,7 @@
 func (s *Stream) Begun() bool { return s.started }
 
 // Token writes the event of one token.
-func (s *Stream) Token(_ pkid.Index, text string) error {
+func (s *Stream) Token(_ pkid.TokenIndex, text string) error {
 	s.buf = s.buf[:0]
 	if !s.started {
 		s.start()
--- a/pkorder/plan.go
+++ b/pkorder/plan.go
@@ -22,7 +22,7 @@
 	Loading map[pkid.TargetID]pkid.Range
 	// Demand is how many requests the pool must be able to run at once.
 	Demand float64
-	Fence  pkid.Fence
+	Fence  pkid.FencingToken
 }
 
 // Assignment is an order and the target to send it to.
--- a/pkorder/plan_test.go
+++ b/pkorder/plan_test.go
@@ -105,7 +105,7 @@
 			got := Next(PoolState{Model: testModel("2", 2), Targets: c.targets, Loading: c.loading, Demand: c.demand, Fence: 3})
 			assert.Equal(t, len(got), c.want)
 			for _, one := range got {
-				assert.Equal(t, one.Order.Fence, pkid.Fence(3))
+				assert.Equal(t, one.Order.Fence, pkid.FencingToken(3))
 				assert.Equal(t, one.Order.Version, pkid.Version("2"))
 			}
 		})
--- a/pkowner/engine.go
+++ b/pkowner/engine.go
@@ -22,7 +22,7 @@
 	KVUsed  float64
 	KVTotal float64
 	// Born distinguishes this start of the engine from others under the same ID.
-	Born pkid.Birth
+	Born pkid.StartTime
 	// Stalled are the requests that wait for an engine further along their path.
 	Stalled []Stalled
 }
@@ -44,7 +44,7 @@
 type Order struct {
 	Layers pkid.Range
 	// Fence is the fencing token of the owner's lease.
-	Fence pkid.Fence
+	Fence pkid.FencingToken
 	// ExpectedOrders is the number of orders that the engine must have accepted before this one.
 	ExpectedOrders uint64
 }
--- a/pkowner/scheduler.go
+++ b/pkowner/scheduler.go
@@ -38,7 +38,7 @@
 // arrival records when a start of a target was first seen.
 type arrival struct {
 	at   time.Time
-	born pkid.Birth
+	born pkid.StartTime
 }
 
 // Scheduler schedules the orders of one pool; the zero value has none pending.
--- a/pkowner/scheduler_test.go
+++ b/pkowner/scheduler_test.go
@@ -16,7 +16,7 @@
 func model() *pklayers.Model {
 	return &pklayers.Model{
 		Layers: 20, LayerMB: 1000, TokenBytes: 200_000, Step: time.Millisecond, LoadTime: 10 * time.Second,
-		Kinds: map[pkid.Kind]pklayers.Accelerator{"x": {MemoryMB: 8000, StepFactor: 1, PrefillFactor: 1}},
+		Kinds: map[pkid.AcceleratorKind]pklayers.Accelerator{"x": {MemoryMB: 8000, StepFactor: 1, PrefillFactor: 1}},
 	}
 }
 
@@ -136,7 +136,7 @@
 		first := pkid.Layer(5 * (i % 4))
 		p.set(now, fmt.Sprint(i), pkid.Range{First: first, End: first + 5})
 	}
-	start := func(b pkid.Birth) {
+	start := func(b pkid.StartTime) {
 		p.revision++
 		info := pkreplica.Info{ID: "new", Service: "s", Addr: "new", DataCenter: "a", Kind: "x", Born: b}
 		p.roster.Apply(now, []pkreplica.Record{{Revision: p.revision, Info: info}}, p.revision)
--- a/pkpace/table.go
+++ b/pkpace/table.go
@@ -36,14 +36,14 @@
 	Factor Factor        `cbor:"2,keyasint"`
 	AgeMS  int64         `cbor:"3,keyasint"`
 	// Born is the start of the engine that reported it, if known.
-	Born pkid.Birth `cbor:"4,keyasint,omitempty"`
+	Born pkid.StartTime `cbor:"4,keyasint,omitempty"`
 }
 
 // record is an observation with the time at which the engine was polled.
 type record struct {
 	factor Factor
 	at     time.Time
-	born   pkid.Birth
+	born   pkid.StartTime
 }
 
 // Table holds the latest observations of engines that are or recently were slow; the zero value is
@@ -56,7 +56,7 @@
 // Record records at now a factor observed at a given time, from a start of the engine that is zero
 // if unknown. It reports whether the change is large enough to be sent to the other entries at
 // once. Invalid, expired and outdated observations are ignored.
-func (t *Table) Record(now time.Time, id pkid.TargetID, born pkid.Birth, f Factor, at time.Time) bool {
+func (t *Table) Record(now time.Time, id pkid.TargetID, born pkid.StartTime, f Factor, at time.Time) bool {
 	if f <= 0 || math.IsNaN(float64(f)) || at.After(now) || now.Sub(at) >= ttl {
 		return false
 	}
@@ -88,7 +88,7 @@
 }
 
 // Factor returns the factor of an engine at now; observations of an earlier start are ignored.
-func (t *Table) Factor(now time.Time, id pkid.TargetID, born pkid.Birth) Factor {
+func (t *Table) Factor(now time.Time, id pkid.TargetID, born pkid.StartTime) Factor {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	o, known := t.byTarget[id]
--- a/pkquarantine/case.go
+++ b/pkquarantine/case.go
@@ -28,7 +28,7 @@
 type StartID uint64
 
 // StartIDOf returns the identifier of a replica's start.
-func StartIDOf(id pkid.TargetID, born pkid.Birth) StartID {
+func StartIDOf(id pkid.TargetID, born pkid.StartTime) StartID {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(id)) // a hash never returns an error
 	_ = binary.Write(h, binary.BigEndian, int64(born))
--- a/pkreplica/era_test.go
+++ b/pkreplica/era_test.go
@@ -75,7 +75,7 @@
 func TestRestartInLaterEraReplacesRecord(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var r Roster
-	born := func(b pkid.Birth, layers pkid.Layer) func(*Info) {
+	born := func(b pkid.StartTime, layers pkid.Layer) func(*Info) {
 		return func(i *Info) { i.Born, i.Held = b, pkid.Range{End: layers} }
 	}
 	r.Replace(now, []Record{recordAt(1, 10, "r", 50, born(5, 8))}, pkstore.NewRevision(1, 10))
@@ -83,7 +83,7 @@
 	live := r.Live(now, "s")
 	assert.Equal(t, len(live), 1)
 	assert.Equal(t, live[0].Held.Len(), 0)
-	assert.Equal(t, live[0].Born, pkid.Birth(6))
+	assert.Equal(t, live[0].Born, pkid.StartTime(6))
 }
 
 // eraModel simulates replicas that start, change, drain and end, and a store that is restored from
--- a/pkreplica/info.go
+++ b/pkreplica/info.go
@@ -17,11 +17,11 @@
 	// Leaving marks a draining replica: it takes no new requests and stops soon.
 	Leaving bool
 	// Kind is the accelerator of an engine; empty for plain services.
-	Kind pkid.Kind
+	Kind pkid.AcceleratorKind
 	// Held is the range of layers that an engine can run.
 	Held pkid.Range
 	// Born distinguishes this start of the replica from others under the same id.
-	Born pkid.Birth
+	Born pkid.StartTime
 }
 
 // InvalidError reports a list record that does not describe a usable replica.
--- a/pkreplica/start.go
+++ b/pkreplica/start.go
@@ -16,7 +16,7 @@
 }
 
 // isLaterStart reports whether a is known to be the birth of a later start than b.
-func isLaterStart(a, b pkid.Birth) bool { return b != 0 && a > b }
+func isLaterStart(a, b pkid.StartTime) bool { return b != 0 && a > b }
 
 // recordOrigin records the origin of an id that was not known before.
 func (r *Roster) recordOrigin(rec Record, known bool) {
@@ -33,7 +33,7 @@
 // Restarted takes a birth reported by the replica itself and reports whether it is of a later start
 // than the known one. If so, the observations of the previous start are discarded, and the replica
 // counts as holding no layers until its record lists some.
-func (r *Roster) Restarted(id pkid.TargetID, born pkid.Birth) bool {
+func (r *Roster) Restarted(id pkid.TargetID, born pkid.StartTime) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.targets[id]
--- a/pkreplica/start_test.go
+++ b/pkreplica/start_test.go
@@ -10,7 +10,7 @@
 	"peridotknot.example/pkstore"
 )
 
-func bornAt(rev pkstore.Revision, id pkid.TargetID, born pkid.Birth) Record {
+func bornAt(rev pkstore.Revision, id pkid.TargetID, born pkid.StartTime) Record {
 	rec := record(rev, id)
 	rec.Info.Born = born
 	return rec
@@ -58,7 +58,7 @@
 	late.Info.Held = pkid.Range{End: 9}
 	assert.Equal(t, len(r.Apply(start, []Record{late}, 5)), 0)
 	got, _ := r.Target("a")
-	assert.Equal(t, got.Born, pkid.Birth(200))
+	assert.Equal(t, got.Born, pkid.StartTime(200))
 	assert.Equal(t, got.Held, pkid.Range{})
 
 	unsaid := record(6, "a")
@@ -66,7 +66,7 @@
 	r.Apply(start, []Record{unsaid}, 6)
 	got, _ = r.Target("a")
 	assert.Equal(t, got.Held, pkid.Range{End: 5})
-	assert.Equal(t, got.Born, pkid.Birth(200), "a known birth is kept")
+	assert.Equal(t, got.Born, pkid.StartTime(200), "a known birth is kept")
 
 	r.Apply(start, []Record{deletedRecord(7, "a")}, 7)
 	assert.Equal(t, liveCount(&r, start), 0)
@@ -89,7 +89,7 @@
 	rec.Revision = 2
 	r.Apply(start, []Record{rec}, 2)
 	got, _ = r.Target("a")
-	assert.Equal(t, got.Born, pkid.Birth(200))
+	assert.Equal(t, got.Born, pkid.StartTime(200))
 }
 
 // Engines cut off from the store restart under other ids at their addresses, and late writes of the
--- a/pkshare/message.go
+++ b/pkshare/message.go
@@ -68,7 +68,7 @@
 	Tokens float32 `cbor:"3,keyasint"`
 	// Born is set where the target has restarted under its ID: loads on an earlier start are not
 	// added to this one.
-	Born pkid.Birth `cbor:"4,keyasint,omitempty"`
+	Born pkid.StartTime `cbor:"4,keyasint,omitempty"`
 }
 
 // Flow is the number of tokens in flight between two data centres.
@@ -86,7 +86,7 @@
 	// Gone says that the target's address refused a connection, so that its process has ended.
 	Gone bool `cbor:"3,keyasint,omitempty"`
 	// Born is the start of the target that was found faulty, where it is known.
-	Born pkid.Birth `cbor:"4,keyasint,omitempty"`
+	Born pkid.StartTime `cbor:"4,keyasint,omitempty"`
 	// Misplaced says that the target does not hold what its record in the replica list says at the
 	// revision below; a later record is trusted again.
 	Misplaced      bool             `cbor:"5,keyasint,omitempty"`
--- a/pkstandin/contract_test.go
+++ b/pkstandin/contract_test.go
@@ -18,7 +18,7 @@
 func startEnvironment(t *testing.T) *World {
 	env, err := Start(Settings{
 		Store: anyPort, Platform: anyPort, Admin: anyPort,
-		Kinds: map[pkid.Kind]Speed{"a": {Base: time.Microsecond, Batch: 8}},
+		Kinds: map[pkid.AcceleratorKind]Speed{"a": {Base: time.Microsecond, Batch: 8}},
 		Engines: []EngineGroup{{
 			Pool: "p", Kind: "a", Count: 1, DataCenters: []pkid.DataCenter{"d"}, Model: "m", Version: "1", End: 4, Enforces: true,
 		}},
--- a/pkstandin/engine.go
+++ b/pkstandin/engine.go
@@ -36,10 +36,10 @@
 	mu        sync.Mutex
 	current   pkengine.Order
 	pending   pkengine.Order
-	fence     pkid.Fence
+	fence     pkid.FencingToken
 	enforces  bool
 	boot      int
-	nextIndex map[attemptKey]pkid.Index
+	nextIndex map[attemptKey]pkid.TokenIndex
 	cancels   map[attemptKey]chan struct{}
 	loading   bool
 
@@ -181,7 +181,7 @@
 // processToken runs the engine's layers for a token. It records a violation if from is not the first
 // layer of the engine or index is not the next token of the attempt. It returns the end of the range
 // and whether the engine is alive.
-func (e *Engine) processToken(key attemptKey, index pkid.Index, from pkid.Layer) (pkid.Layer, bool) {
+func (e *Engine) processToken(key attemptKey, index pkid.TokenIndex, from pkid.Layer) (pkid.Layer, bool) {
 	if e.dead.Load() {
 		return 0, false
 	}
@@ -290,7 +290,7 @@
 		return
 	}
 	mark := pktrace.Mark(g.open.Prompt)
-	end := pkid.Index(g.open.MaxTokens)
+	end := pkid.TokenIndex(g.open.MaxTokens)
 	for i := g.open.Next; i < end; i++ {
 		if !g.wait(g.tokenTime()) {
 			return
@@ -326,7 +326,7 @@
 
 // runToken runs a token through all stages. It returns the ID of the first stage that is dead, or ""
 // if all are alive.
-func (g *generation) runToken(key attemptKey, index pkid.Index) pkid.TargetID {
+func (g *generation) runToken(key attemptKey, index pkid.TokenIndex) pkid.TargetID {
 	var at pkid.Layer
 	for _, s := range g.stages {
 		next, alive := s.processToken(key, index, at)
--- a/pkstandin/environment.go
+++ b/pkstandin/environment.go
@@ -88,7 +88,7 @@
 				env:       env,
 				enforces:  g.Enforces,
 				current:   pkengine.Order{Model: g.Model, Version: g.Version, Adapters: g.Adapters, First: g.First, End: g.End},
-				nextIndex: map[attemptKey]pkid.Index{},
+				nextIndex: map[attemptKey]pkid.TokenIndex{},
 				cancels:   map[attemptKey]chan struct{}{},
 			}
 			srv, err := newServer(anyPort, e)
--- a/pkstandin/settings.go
+++ b/pkstandin/settings.go
@@ -19,24 +19,24 @@
 	// Link is the one-way delay between data centres.
 	Link time.Duration `yaml:"link"`
 	// LoadTime is the time that an engine takes to load a model.
-	LoadTime time.Duration       `yaml:"load_time"`
-	Kinds    map[pkid.Kind]Speed `yaml:"kinds"`
-	Engines  []EngineGroup       `yaml:"engines"`
-	Services []ServiceGroup      `yaml:"services"`
+	LoadTime time.Duration                  `yaml:"load_time"`
+	Kinds    map[pkid.AcceleratorKind]Speed `yaml:"kinds"`
+	Engines  []EngineGroup                  `yaml:"engines"`
+	Services []ServiceGroup                 `yaml:"services"`
 }
 
 // EngineGroup configures a group of identical engines.
 type EngineGroup struct {
-	Pool        pkid.PoolID       `yaml:"pool"`
-	Kind        pkid.Kind         `yaml:"kind"`
-	Count       int               `yaml:"count"`
-	DataCenters []pkid.DataCenter `yaml:"data_centers"`
-	Model       pkid.ModelID      `yaml:"model"`
-	Version     pkid.Version      `yaml:"version"`
-	Adapters    []pkid.AdapterID  `yaml:"adapters"`
-	First       pkid.Layer        `yaml:"first"`
-	End         pkid.Layer        `yaml:"end"`
-	Enforces    bool              `yaml:"enforces_fencing"`
+	Pool        pkid.PoolID          `yaml:"pool"`
+	Kind        pkid.AcceleratorKind `yaml:"kind"`
+	Count       int                  `yaml:"count"`
+	DataCenters []pkid.DataCenter    `yaml:"data_centers"`
+	Model       pkid.ModelID         `yaml:"model"`
+	Version     pkid.Version         `yaml:"version"`
+	Adapters    []pkid.AdapterID     `yaml:"adapters"`
+	First       pkid.Layer           `yaml:"first"`
+	End         pkid.Layer           `yaml:"end"`
+	Enforces    bool                 `yaml:"enforces_fencing"`
 }
 
 // ServiceGroup configures a group of identical services.
--- a/pkstream/relay.go
+++ b/pkstream/relay.go
@@ -9,7 +9,7 @@
 // Relay is the state of one answer; the zero value is an answer that has not begun.
 type Relay struct {
 	attempt pkid.Attempt
-	next    pkid.Index
+	next    pkid.TokenIndex
 	ended   bool
 	dropped int
 }
@@ -35,7 +35,7 @@
 }
 
 // Token records a token of an attempt and returns what to do with it.
-func (r *Relay) Token(attempt pkid.Attempt, index pkid.Index) Action {
+func (r *Relay) Token(attempt pkid.Attempt, index pkid.TokenIndex) Action {
 	if attempt != r.attempt || r.ended {
 		r.dropped++
 		return Drop
@@ -56,7 +56,7 @@
 
 // End records the end marker of an attempt with the total number of tokens that the engine reports.
 // An answer without it is incomplete.
-func (r *Relay) End(attempt pkid.Attempt, total pkid.Index) error {
+func (r *Relay) End(attempt pkid.Attempt, total pkid.TokenIndex) error {
 	if attempt != r.attempt || r.ended {
 		return fmt.Errorf("end mark of attempt %d while attempt %d is live", attempt, r.attempt)
 	}
@@ -68,7 +68,7 @@
 }
 
 // Next returns the index of the next token to deliver.
-func (r *Relay) Next() pkid.Index { return r.next }
+func (r *Relay) Next() pkid.TokenIndex { return r.next }
 
 // Ended reports whether the answer is complete.
 func (r *Relay) Ended() bool { return r.ended }
--- a/pkstream/relay_test.go
+++ b/pkstream/relay_test.go
@@ -14,14 +14,14 @@
 func TestDeliversEachIndexOnceInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r Relay
-		var seen []pkid.Index
+		var seen []pkid.TokenIndex
 		attempts := []pkid.Attempt{r.Begin()}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			if rapid.IntRange(0, 9).Draw(t, "replace") == 0 {
 				attempts = append(attempts, r.Begin())
 			}
 			from := rapid.SampledFrom(attempts).Draw(t, "attempt")
-			index := r.Next() + pkid.Index(rapid.IntRange(-2, 2).Draw(t, "offset"))
+			index := r.Next() + pkid.TokenIndex(rapid.IntRange(-2, 2).Draw(t, "offset"))
 			step := r.Token(from, index)
 			if step == Deliver {
 				seen = append(seen, index)
--- a/pktarget/target.go
+++ b/pktarget/target.go
@@ -9,11 +9,11 @@
 
 // Info holds the properties of a target that are fixed while it runs.
 type Info struct {
-	ID         pkid.TargetID   `json:"id"`
-	Addr       string          `json:"addr"`
-	Pool       pkid.PoolID     `json:"pool"`
-	Kind       pkid.Kind       `json:"kind"`
-	DataCenter pkid.DataCenter `json:"data_center"`
+	ID         pkid.TargetID        `json:"id"`
+	Addr       string               `json:"addr"`
+	Pool       pkid.PoolID          `json:"pool"`
+	Kind       pkid.AcceleratorKind `json:"kind"`
+	DataCenter pkid.DataCenter      `json:"data_center"`
 }
 
 // Holding describes what an engine has loaded: the model version, its adapters and the range of
