--- a/pkedge/settings.go
+++ b/pkedge/settings.go
@@ -62,16 +62,16 @@
 		return s, err
 	}
 	c := pkyaml.Checker{Doc: doc}
-	c.Want(s.Entry != "", "entry is missing", "entry")
-	c.Want(s.DataCenter != "", "data_center is missing", "data_center")
-	c.Want(s.Listen.Callers != "", "listen.callers is missing", "listen", "callers")
-	c.Want(s.Listen.Ready != "", "listen.ready is missing", "listen", "ready")
-	c.Want(s.Store != "", "store is missing", "store")
-	c.Want(s.ProcessorShare >= 0, "processor_share must not be below 0", "processor_share")
-	c.Want(s.MemoryMB >= 0, "memory_mb must not be below 0", "memory_mb")
-	c.Want(s.Stop.GraceS > 0, "stop.grace_s must be over 0", "stop", "grace_s")
-	c.Want(s.Retry.Ratio >= 0, "retry.ratio must not be below 0", "retry", "ratio")
-	c.Want(s.Retry.WindowS > 0, "retry.window_s must be over 0", "retry", "window_s")
-	c.Want(s.Retry.Slack >= 0, "retry.slack must not be below 0", "retry", "slack")
+	c.Require(s.Entry != "", "entry is missing", "entry")
+	c.Require(s.DataCenter != "", "data_center is missing", "data_center")
+	c.Require(s.Listen.Callers != "", "listen.callers is missing", "listen", "callers")
+	c.Require(s.Listen.Ready != "", "listen.ready is missing", "listen", "ready")
+	c.Require(s.Store != "", "store is missing", "store")
+	c.Require(s.ProcessorShare >= 0, "processor_share must not be below 0", "processor_share")
+	c.Require(s.MemoryMB >= 0, "memory_mb must not be below 0", "memory_mb")
+	c.Require(s.Stop.GraceS > 0, "stop.grace_s must be over 0", "stop", "grace_s")
+	c.Require(s.Retry.Ratio >= 0, "retry.ratio must not be below 0", "retry", "ratio")
+	c.Require(s.Retry.WindowS > 0, "retry.window_s must be over 0", "retry", "window_s")
+	c.Require(s.Retry.Slack >= 0, "retry.slack must not be below 0", "retry", "slack")
 	return s, c.Err()
 }
--- a/pkentry/settings.go
+++ b/pkentry/settings.go
@@ -98,25 +98,25 @@
 		return s, err
 	}
 	c := pkyaml.Checker{Doc: doc}
-	c.Want(s.Entry != "", "entry is missing", "entry")
-	c.Want(s.Region != "", "region is missing", "region")
-	c.Want(s.DataCenter != "", "data_center is missing", "data_center")
-	c.Want(isAddress(s.Listen.Callers), "listen.callers: expected IP:port", "listen", "callers")
-	c.Want(isAddress(s.Listen.Admin), "listen.admin: expected IP:port", "listen", "admin")
-	c.Want(s.Listen.Peers == "" || isAdvertisable(s.Listen.Peers), "listen.peers: expected IP:port by which the other entries reach this one", "listen", "peers")
-	c.Want(isAddress(s.Store), "store: expected IP:port", "store")
-	c.Want(isAddress(s.Platform), "platform: expected IP:port", "platform")
+	c.Require(s.Entry != "", "entry is missing", "entry")
+	c.Require(s.Region != "", "region is missing", "region")
+	c.Require(s.DataCenter != "", "data_center is missing", "data_center")
+	c.Require(isAddress(s.Listen.Callers), "listen.callers: expected IP:port", "listen", "callers")
+	c.Require(isAddress(s.Listen.Admin), "listen.admin: expected IP:port", "listen", "admin")
+	c.Require(s.Listen.Peers == "" || isAdvertisable(s.Listen.Peers), "listen.peers: expected IP:port by which the other entries reach this one", "listen", "peers")
+	c.Require(isAddress(s.Store), "store: expected IP:port", "store")
+	c.Require(isAddress(s.Platform), "platform: expected IP:port", "platform")
 	for i, seed := range s.Peers.Seeds {
-		c.Want(isAddress(seed), "peers.seeds: expected IP:port", "peers", "seeds", i)
+		c.Require(isAddress(seed), "peers.seeds: expected IP:port", "peers", "seeds", i)
 	}
 	n := s.Peers.Neighborhood
-	c.Want(n == "" || n == NeighborhoodDataCenter || n == NeighborhoodRegion, "expected data_center or region", "peers", "neighborhood")
+	c.Require(n == "" || n == NeighborhoodDataCenter || n == NeighborhoodRegion, "expected data_center or region", "peers", "neighborhood")
 	policies := []pkroute.Policy{pkroute.ByCost, pkroute.Random, pkroute.BestOfTwo, pkroute.LeastConnections}
-	c.Want(slices.Contains(policies, s.Policy), fmt.Sprintf("expected one of %q", policies), "policy")
+	c.Require(slices.Contains(policies, s.Policy), fmt.Sprintf("expected one of %q", policies), "policy")
 	t := s.Peers.TLS
-	c.Want(t == TLS{} || (t.Cert != "" && t.Key != "" && t.CA != ""), "cert, key and ca go together", "peers", "tls")
-	c.Want(s.Log.Format == "" || s.Log.Format == LogText || s.Log.Format == LogJSON, "expected text or json", "log", "format")
-	c.Want(s.Stop.Delay >= 0 && s.Stop.Limit >= s.Stop.Delay, "limit must not be below delay, nor delay below zero", "stop")
+	c.Require(t == TLS{} || (t.Cert != "" && t.Key != "" && t.CA != ""), "cert, key and ca go together", "peers", "tls")
+	c.Require(s.Log.Format == "" || s.Log.Format == LogText || s.Log.Format == LogJSON, "expected text or json", "log", "format")
+	c.Require(s.Stop.Delay >= 0 && s.Stop.Limit >= s.Stop.Delay, "limit must not be below delay, nor delay below zero", "stop")
 	if err := c.Err(); err != nil {
 		return s, err
 	}
--- a/pkstandin/settings.go
+++ b/pkstandin/settings.go
@@ -57,12 +57,12 @@
 	c := pkyaml.Checker{Doc: doc}
 	for i, g := range s.Engines {
 		_, found := s.Kinds[g.Kind]
-		c.Want(found, fmt.Sprintf("kind %q is not among kinds", g.Kind), "engines", i, "kind")
-		c.Want(g.Pool != "" && g.Count > 0 && len(g.DataCenters) > 0, "an engine group needs pool, count and data_centers", "engines", i)
-		c.Want(g.End > g.First, "end must be above first", "engines", i)
+		c.Require(found, fmt.Sprintf("kind %q is not among kinds", g.Kind), "engines", i, "kind")
+		c.Require(g.Pool != "" && g.Count > 0 && len(g.DataCenters) > 0, "an engine group needs pool, count and data_centers", "engines", i)
+		c.Require(g.End > g.First, "end must be above first", "engines", i)
 	}
 	for i, g := range s.Services {
-		c.Want(g.Pool != "" && g.Count > 0 && len(g.DataCenters) > 0 && g.Max > 0, "a service group needs pool, count, data_centers and max", "services", i)
+		c.Require(g.Pool != "" && g.Count > 0 && len(g.DataCenters) > 0 && g.Max > 0, "a service group needs pool, count, data_centers and max", "services", i)
 	}
 	if err := c.Err(); err != nil {
 		return s, err
--- a/pktrace/expect.go
+++ b/pktrace/expect.go
@@ -34,7 +34,7 @@
 		"between_tokens_p95": x.BetweenTokensP95,
 		"max_recovery":       x.MaxRecovery,
 	} {
-		c.Want(d > 0, key+" is missing or not above zero", key)
+		c.Require(d > 0, key+" is missing or not above zero", key)
 	}
 	return x, c.Err()
 }
--- a/pkyaml/checker.go
+++ b/pkyaml/checker.go
@@ -6,15 +6,15 @@
 	faults Faults
 }
 
-// Say records a fault at the value that path refers to.
-func (c *Checker) Say(text string, path ...any) {
+// Report records a fault at the value that path refers to.
+func (c *Checker) Report(text string, path ...any) {
 	c.faults = append(c.faults, c.Doc.Fault(text, path...))
 }
 
-// Want records a fault at the value that path refers to unless ok is true.
-func (c *Checker) Want(ok bool, text string, path ...any) {
+// Require records a fault at the value that path refers to unless ok is true.
+func (c *Checker) Require(ok bool, text string, path ...any) {
 	if !ok {
-		c.Say(text, path...)
+		c.Report(text, path...)
 	}
 }
 
