--- a/pkedge/gossip.go
+++ b/pkedge/gossip.go
@@ -173,7 +173,7 @@
 		}
 		d.broadcast(now, m, due, changed)
 	}
-	pktimer.EveryOr(ctx, pkshare.Interval, s.sendNow, func(ctx context.Context) {
+	pktimer.EveryOrWake(ctx, pkshare.Interval, s.sendNow, func(ctx context.Context) {
 		if round%roundsPerLinkUpdate == 0 {
 			d.updateLinks(ctx, time.Now())
 		}
--- a/pkedge/lease.go
+++ b/pkedge/lease.go
@@ -124,7 +124,7 @@
 // unless it is registered already.
 func (d *Daemon) renewOrGrant(ctx context.Context, registered *bool) error {
 	m := &d.members
-	sent := pktimer.Boot()
+	sent := pktimer.BootClock()
 	m.mu.Lock()
 	current := m.leaseID
 	m.mu.Unlock()
--- a/pkedge/own.go
+++ b/pkedge/own.go
@@ -57,7 +57,7 @@
 	m := &d.members
 	m.mu.Lock()
 	id, owner, known, rev := m.leaseID, m.owner, m.known, m.ownerRevision
-	may, answered := m.lease.MayAct(pktimer.Boot()), m.failures == 0
+	may, answered := m.lease.MayAct(pktimer.BootClock()), m.failures == 0
 	m.mu.Unlock()
 	if !known || id == 0 || d.stopping.Load() {
 		return false
@@ -104,7 +104,7 @@
 	if owner == d.settings.Entry {
 		w.Old = rev
 	}
-	sent := pktimer.Boot()
+	sent := pktimer.BootClock()
 	out, err := d.write(ctx, askerOwner, w)
 	if err != nil {
 		d.log.Warn("pool ownership was not acquired", "error", err)
@@ -173,7 +173,7 @@
 		return pkowner.Done
 	}
 	d.members.mu.Lock()
-	may, fence := d.members.lease.MayAct(pktimer.Boot()), d.members.lease.Fence()
+	may, fence := d.members.lease.MayAct(pktimer.BootClock()), d.members.lease.Fence()
 	d.members.mu.Unlock()
 	if !may {
 		return pkowner.Rejected
--- a/pkedge/reroute.go
+++ b/pkedge/reroute.go
@@ -87,7 +87,7 @@
 	defer wg.Wait()
 	for pause := rerouteInterval; ; {
 		before := time.Now()
-		if !pktimer.SleepOr(ctx, pause, d.streams.wake) {
+		if !pktimer.SleepOrWake(ctx, pause, d.streams.wake) {
 			return
 		}
 		now := time.Now()
--- a/pktimer/timer.go
+++ b/pktimer/timer.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// SleepOr waits for d or a receive from wake; it returns false if ctx is done first.
-func SleepOr(ctx context.Context, d time.Duration, wake <-chan struct{}) bool {
+// SleepOrWake waits for d or a receive from wake; it returns false if ctx is done first.
+func SleepOrWake(ctx context.Context, d time.Duration, wake <-chan struct{}) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -32,12 +32,12 @@
 
 // Every calls do immediately and then once per period until ctx is done.
 func Every(ctx context.Context, period time.Duration, do func(context.Context)) {
-	EveryOr(ctx, period, nil, do, nil)
+	EveryOrWake(ctx, period, nil, do, nil)
 }
 
-// EveryOr calls do immediately and then once per period until ctx is done. On each
+// EveryOrWake calls do immediately and then once per period until ctx is done. On each
 // receive from wake in between it calls onWake.
-func EveryOr(ctx context.Context, period time.Duration, wake <-chan struct{}, do, onWake func(context.Context)) {
+func EveryOrWake(ctx context.Context, period time.Duration, wake <-chan struct{}, do, onWake func(context.Context)) {
 	t := time.NewTicker(period)
 	defer t.Stop()
 	do(ctx)
