--- a/peridotknot-edge/main.go
+++ b/peridotknot-edge/main.go
@@ -23,7 +23,7 @@
 )
 
 func main() {
-	os.Exit(pkcli.Daemon(os.Getenv(platform.SettingsVariable), pkedge.ParseSettings, serve))
+	os.Exit(pkcli.RunDaemon(os.Getenv(platform.SettingsVariable), pkedge.ParseSettings, serve))
 }
 
 const (
--- a/peridotknot-standin/main.go
+++ b/peridotknot-standin/main.go
@@ -13,7 +13,7 @@
 	"peridotknot.example/pkstandin"
 )
 
-func main() { os.Exit(pkcli.Daemon("", pkstandin.ParseSettings, serve)) }
+func main() { os.Exit(pkcli.RunDaemon("", pkstandin.ParseSettings, serve)) }
 
 func serve(s pkstandin.Settings, _ string) error {
 	w, err := pkstandin.Start(s)
--- a/peridotknotd/main.go
+++ b/peridotknotd/main.go
@@ -25,7 +25,7 @@
 // flushTimeout bounds the export of the remaining spans at shutdown.
 const flushTimeout = 3 * time.Second
 
-func main() { os.Exit(pkcli.Daemon("", pkentry.ParseSettings, serve)) }
+func main() { os.Exit(pkcli.RunDaemon("", pkentry.ParseSettings, serve)) }
 
 func serve(s pkentry.Settings, _ string) error {
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
--- a/pkcli/daemon.go
+++ b/pkcli/daemon.go
@@ -11,9 +11,9 @@
 	Check bool `long:"check" description:"check the settings file and exit"`
 }
 
-// Daemon parses a daemon's command line and settings file, calls serve and returns the
+// RunDaemon parses a daemon's command line and settings file, calls serve and returns the
 // exit code. If the command line has no settings file, file is used.
-func Daemon[S any](file string, parse func(file string, body []byte) (S, error), serve func(s S, file string) error) int {
+func RunDaemon[S any](file string, parse func(file string, body []byte) (S, error), serve func(s S, file string) error) int {
 	o := daemonOptions{Common: Common{Settings: file}}
 	if code, exit := Parse(&o, &o.Common); exit {
 		return code
