--- a/pkentry/chat.go
+++ b/pkentry/chat.go
@@ -52,15 +52,15 @@
 		return c.invalid(http.StatusNotFound, "model_not_found", fmt.Sprintf("model %q does not exist or is not yours to use", req.Model))
 	}
 	c.resource = "model:" + string(m.ID)
-	prompt := req.Text(endpoint)
+	prompt := req.PromptText(endpoint)
 	limits := c.view.Manifest.Limits
 	run := pkanswer.Request{
 		ID:           c.id,
 		Digest:       c.digest(req, prompt),
 		Spec:         c.chooseWant(m, adapter),
 		Prompt:       prompt,
-		PromptTokens: pkopenai.CountTokens(prompt),
-		MaxTokens:    min(req.Max(limits.MaxOutputTokens), limits.MaxOutputTokens),
+		PromptTokens: pkopenai.EstimateTokens(prompt),
+		MaxTokens:    min(req.MaxTokensOr(limits.MaxOutputTokens), limits.MaxOutputTokens),
 		Priority:     c.account.Priority,
 		Deadline:     deadline,
 	}
@@ -135,7 +135,7 @@
 	}
 	var used pkid.Tokens
 	defer func() { leave(run.PromptTokens + used) }()
-	head := pkopenai.Head{ID: c.id, Model: pkid.ModelID(req.Model), Created: c.began, Endpoint: endpoint}
+	head := pkopenai.ResponseInfo{ID: c.id, Model: pkid.ModelID(req.Model), Created: c.began, Endpoint: endpoint}
 	out := answerSink{head: head}
 	if req.Stream {
 		include := req.StreamOptions != nil && req.StreamOptions.IncludeUsage
@@ -172,12 +172,12 @@
 // failStream ends a started stream with an error event, so that the client does not take it for
 // complete. If no stream was started, it returns err.
 func (c *call) failStream(out *answerSink, err error) error {
-	if out.stream == nil || !out.stream.Begun() {
+	if out.stream == nil || !out.stream.Started() {
 		return err
 	}
 	f := failure(err)
 	f.RequestID = pkid.RequestID(c.requestID())
-	if werr := out.stream.Fail(f); werr != nil {
+	if werr := out.stream.WriteError(f); werr != nil {
 		c.log.Debug("failed to write error event to stream", "request_id", c.requestID(), "error", werr)
 	}
 	return fmt.Errorf("%w: %w", errResponseStarted, err)
@@ -204,7 +204,7 @@
 
 // answerSink writes tokens to a stream, or collects them for a response sent as a whole.
 type answerSink struct {
-	head   pkopenai.Head
+	head   pkopenai.ResponseInfo
 	stream *pkopenai.Stream
 	text   strings.Builder
 }
@@ -212,7 +212,7 @@
 // Token writes or collects a token.
 func (a *answerSink) Token(index pkid.TokenIndex, text string) error {
 	if a.stream != nil {
-		return a.stream.Token(index, text)
+		return a.stream.WriteToken(index, text)
 	}
 	a.text.WriteString(text)
 	return nil
@@ -220,9 +220,9 @@
 
 func (a *answerSink) end(w http.ResponseWriter, f pkanswer.Result, u pkopenai.Usage) error {
 	if a.stream != nil {
-		return a.stream.End(f.FinishReason, u)
+		return a.stream.Finish(f.FinishReason, u)
 	}
-	return pkopenai.WriteWhole(w, a.head, a.text.String(), f.FinishReason, u)
+	return pkopenai.WriteCompletion(w, a.head, a.text.String(), f.FinishReason, u)
 }
 
 // timedSink records the time to the first token and between tokens.
--- a/pkopenai/answer.go
+++ b/pkopenai/answer.go
@@ -20,22 +20,22 @@
 	return Usage{PromptTokens: prompt, CompletionTokens: completion, TotalTokens: prompt + completion}
 }
 
-// Head holds the fields that every chunk of a response repeats.
-type Head struct {
+// ResponseInfo holds the fields that every chunk of a response repeats.
+type ResponseInfo struct {
 	ID       pkid.RequestID
 	Model    pkid.ModelID
 	Created  time.Time
 	Endpoint Endpoint
 }
 
-func (h Head) idPrefix() string {
+func (h ResponseInfo) idPrefix() string {
 	if h.Endpoint == Chat {
 		return "chatcmpl-"
 	}
 	return "cmpl-"
 }
 
-func (h Head) object(chunk bool) string {
+func (h ResponseInfo) object(chunk bool) string {
 	switch {
 	case h.Endpoint == Completion:
 		return "text_completion"
@@ -67,8 +67,8 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// WriteWhole writes the complete response as one JSON body.
-func WriteWhole(w http.ResponseWriter, h Head, content, finish string, u Usage) error {
+// WriteCompletion writes the complete response as one JSON body.
+func WriteCompletion(w http.ResponseWriter, h ResponseInfo, content, finish string, u Usage) error {
 	c := choice{FinishReason: finish}
 	if h.Endpoint == Chat {
 		c.Message = &chatMessage{Role: "assistant", Content: content}
--- a/pkopenai/openai_test.go
+++ b/pkopenai/openai_test.go
@@ -30,7 +30,7 @@
 		t.Run(name, func(t *testing.T) {
 			r, err := Decode(strings.NewReader(c.body), c.endpoint)
 			assert.NilError(t, err)
-			assert.Equal(t, r.Text(c.endpoint), c.text)
+			assert.Equal(t, r.PromptText(c.endpoint), c.text)
 		})
 	}
 }
--- a/pkopenai/request.go
+++ b/pkopenai/request.go
@@ -109,14 +109,14 @@
 		return r, errors.New("prompt is missing or empty")
 	case r.N != nil && *r.N != 1:
 		return r, errors.New("n must be 1")
-	case r.Max(1) < 1:
+	case r.MaxTokensOr(1) < 1:
 		return r, errors.New("max_tokens must be above zero")
 	}
 	return r, nil
 }
 
-// Text returns the prompt, or all messages of a chat joined with their roles, as one text.
-func (r Request) Text(e Endpoint) string {
+// PromptText returns the prompt, or all messages of a chat joined with their roles, as one text.
+func (r Request) PromptText(e Endpoint) string {
 	if e == Completion {
 		return string(r.Prompt)
 	}
@@ -131,8 +131,8 @@
 	return all.String()
 }
 
-// Max returns the requested limit of output tokens, or fallback if the request sets none.
-func (r Request) Max(fallback pkid.Tokens) pkid.Tokens {
+// MaxTokensOr returns the requested limit of output tokens, or fallback if the request sets none.
+func (r Request) MaxTokensOr(fallback pkid.Tokens) pkid.Tokens {
 	switch {
 	case r.MaxCompletionTokens != nil:
 		return pkid.Tokens(*r.MaxCompletionTokens)
@@ -143,9 +143,9 @@
 	}
 }
 
-// CountTokens estimates the token count of a text at four bytes a token. Admission needs the size
+// EstimateTokens estimates the token count of a text at four bytes a token. Admission needs the size
 // before an engine has tokenized the text.
-func CountTokens(text string) pkid.Tokens {
+func EstimateTokens(text string) pkid.Tokens {
 	const bytesPerToken = 4
 	return pkid.Tokens(len(text)/bytesPerToken + 1)
 }
--- a/pkopenai/stream.go
+++ b/pkopenai/stream.go
@@ -20,7 +20,7 @@
 type Stream struct {
 	w            http.ResponseWriter
 	control      *http.ResponseController
-	head         Head
+	head         ResponseInfo
 	includeUsage bool
 	// tokenPrefix and tokenSuffix enclose the text of a token in its event.
 	tokenPrefix []byte
@@ -33,7 +33,7 @@
 
 // NewStream returns a stream. Nothing is written before its first event; includeUsage adds an event
 // with the token usage at the end.
-func NewStream(w http.ResponseWriter, h Head, includeUsage bool) *Stream {
+func NewStream(w http.ResponseWriter, h ResponseInfo, includeUsage bool) *Stream {
 	s := &Stream{w: w, control: http.NewResponseController(w), head: h, includeUsage: includeUsage}
 	s.tokenPrefix = s.eventPrefix()
 	if h.Endpoint == Chat {
@@ -59,11 +59,11 @@
 	return append(b, ',')
 }
 
-// Begun reports whether the status and headers have been written.
-func (s *Stream) Begun() bool { return s.started }
+// Started reports whether the status and headers have been written.
+func (s *Stream) Started() bool { return s.started }
 
-// Token writes the event of one token.
-func (s *Stream) Token(_ pkid.TokenIndex, text string) error {
+// WriteToken writes the event of one token.
+func (s *Stream) WriteToken(_ pkid.TokenIndex, text string) error {
 	s.buf = s.buf[:0]
 	if !s.started {
 		s.start()
@@ -87,8 +87,8 @@
 	s.buf = append(s.buf, `"choices":[{"index":0,"delta":{"role":"assistant","content":""},"finish_reason":null}]}`+"\n\n"...)
 }
 
-// End writes the closing events of a complete response.
-func (s *Stream) End(finish string, u Usage) error {
+// Finish writes the closing events of a complete response.
+func (s *Stream) Finish(finish string, u Usage) error {
 	s.buf = s.buf[:0]
 	if !s.started {
 		s.start()
@@ -115,9 +115,9 @@
 	return s.flush()
 }
 
-// Fail writes an error event without a closing [DONE], so that clients don't take a truncated
+// WriteError writes an error event without a closing [DONE], so that clients don't take a truncated
 // response for a complete one.
-func (s *Stream) Fail(f Failure) error {
+func (s *Stream) WriteError(f Failure) error {
 	raw, err := json.Marshal(f.body())
 	if err != nil {
 		return err
--- a/pktrace/exchange.go
+++ b/pktrace/exchange.go
@@ -51,7 +51,7 @@
 // chatMark returns the mark for a prompt that is sent as the only message of a chat.
 func chatMark(prompt string) string {
 	r := pkopenai.Request{Messages: []pkopenai.Message{{Role: "user", Content: pkopenai.Content(prompt)}}}
-	return Mark(r.Text(pkopenai.Chat))
+	return Mark(r.PromptText(pkopenai.Chat))
 }
 
 func (e *exchange) send(ctx context.Context, method, path string, body []byte) (*http.Response, error) {
