--- a/peridotknot/explain.go
+++ b/peridotknot/explain.go
@@ -64,7 +64,7 @@
 }
 
 func (c *explainCommand) summarize(log io.Reader) error {
-	s, err := pkexplain.Summarize(log, pkexplain.Aims{FirstEvent: c.FirstEvent, Pause: c.Pause}, c.Span)
+	s, err := pkexplain.Summarize(log, pkexplain.Thresholds{FirstEvent: c.FirstEvent, Pause: c.Pause}, c.Span)
 	if err != nil {
 		return err
 	}
@@ -74,7 +74,7 @@
 	return s.WriteText(os.Stdout)
 }
 
-func writeExplanation(w io.Writer, s pkexplain.Story) error {
+func writeExplanation(w io.Writer, s pkexplain.Explanation) error {
 	for _, l := range s.Lines {
 		var fields strings.Builder
 		for _, f := range l.Fields {
--- a/pkexplain/explanation.go
+++ b/pkexplain/explanation.go
@@ -40,8 +40,8 @@
 	Value string
 }
 
-// Story is the part of a log that explains one request.
-type Story struct {
+// Explanation is the part of a log that explains one request.
+type Explanation struct {
 	Lines []Line
 	// Unreadable counts lines that could not be parsed.
 	Unreadable int
@@ -49,9 +49,9 @@
 
 // Read reads a log and returns the lines that explain the request with the given id. The error is
 // ErrUnknown if no line names it.
-func Read(log io.Reader, id string) (Story, error) {
+func Read(log io.Reader, id string) (Explanation, error) {
 	all, unreadable, err := readLines(log)
-	s := Story{Unreadable: unreadable}
+	s := Explanation{Unreadable: unreadable}
 	if err != nil {
 		return s, err
 	}
--- a/pkexplain/summary.go
+++ b/pkexplain/summary.go
@@ -20,21 +20,21 @@
 	// The stream was not late.
 	InTime Cause = "in time"
 	// The stream was moved off a dead engine.
-	Dead Cause = "dead engine"
+	DeadEngine Cause = "dead engine"
 	// The stream was moved off a leaving engine.
-	Leaving Cause = "leaving engine"
+	LeavingEngine Cause = "leaving engine"
 	// The stream was retried for another reason.
 	Resent Cause = "sent again"
 	// The first event was late.
-	FirstEvent Cause = "first event"
+	LateFirstEvent Cause = "first event"
 	// The stream paused on a path that crosses data centres, without a known failure of an engine.
-	Crossing Cause = "pause, path crosses data centres"
+	PauseAcrossDataCenters Cause = "pause, path crosses data centres"
 	// The stream paused on a path within one data centre.
-	Near Cause = "pause, path in one data centre"
+	PauseInDataCenter Cause = "pause, path in one data centre"
 )
 
-// Aims are the thresholds above which a stream counts as late.
-type Aims struct {
+// Thresholds are the thresholds above which a stream counts as late.
+type Thresholds struct {
 	// FirstEvent bounds the time to the first event, Pause the longest time between two events.
 	FirstEvent time.Duration
 	Pause      time.Duration
@@ -49,8 +49,8 @@
 	Crossings float64
 }
 
-// Share is how much an engine is used.
-type Share struct {
+// EngineShare is how much an engine is used.
+type EngineShare struct {
 	Engine string
 	// Where is the engine's data centre and kind.
 	Where string
@@ -64,7 +64,7 @@
 	Causes  map[Cause]int
 	Spans   []Span
 	// Engines are sorted by share, the largest first.
-	Engines []Share
+	Engines []EngineShare
 	// Unreadable counts lines that could not be parsed.
 	Unreadable int
 }
@@ -81,7 +81,7 @@
 
 // Summarize reads the concatenated logs of entries and summarizes their streams, in total and per
 // interval of the given length.
-func Summarize(log io.Reader, aims Aims, span time.Duration) (Summary, error) {
+func Summarize(log io.Reader, aims Thresholds, span time.Duration) (Summary, error) {
 	all, unreadable, err := readLines(log)
 	if err != nil {
 		return Summary{}, err
@@ -110,16 +110,16 @@
 		out.Spans = append(out.Spans, *spans[at])
 	}
 	for p, n := range engines {
-		out.Engines = append(out.Engines, Share{Engine: p.engine, Where: p.dataCenter + " " + p.kind, Of: float64(n) / float64(out.Streams)})
+		out.Engines = append(out.Engines, EngineShare{Engine: p.engine, Where: p.dataCenter + " " + p.kind, Of: float64(n) / float64(out.Streams)})
 	}
-	slices.SortFunc(out.Engines, func(a, b Share) int {
+	slices.SortFunc(out.Engines, func(a, b EngineShare) int {
 		return cmp.Or(cmp.Compare(b.Of, a.Of), cmp.Compare(a.Engine, b.Engine))
 	})
 	return out, nil
 }
 
 // parseStreams returns the streams that were sent to an engine or rejected.
-func parseStreams(all []Line, aims Aims) []stream {
+func parseStreams(all []Line, aims Thresholds) []stream {
 	rerouteCauses := map[string]Cause{}
 	for _, l := range all {
 		if l.Message == "a stream goes on by another attempt" || (l.Message == "a stream changes its path" && l.value("outcome") == "done") {
@@ -138,7 +138,7 @@
 	return out
 }
 
-func (s stream) classify(l Line, rerouteCause Cause, aims Aims) Cause {
+func (s stream) classify(l Line, rerouteCause Cause, aims Thresholds) Cause {
 	if outcome := l.value("outcome"); outcome != "answered" {
 		return Cause(outcome)
 	}
@@ -151,11 +151,11 @@
 	case l.value("sends") != "1":
 		return Resent
 	case lateFirst:
-		return FirstEvent
+		return LateFirstEvent
 	case s.crossings() > 0:
-		return Crossing
+		return PauseAcrossDataCenters
 	default:
-		return Near
+		return PauseInDataCenter
 	}
 }
 
--- a/pkexplain/summary_test.go
+++ b/pkexplain/summary_test.go
@@ -21,14 +21,14 @@
 `
 
 func TestSummarizeClassifiesLateStreams(t *testing.T) {
-	s, err := Summarize(strings.NewReader(streamsLog), Aims{FirstEvent: 500 * time.Millisecond, Pause: 200 * time.Millisecond}, 2*time.Second)
+	s, err := Summarize(strings.NewReader(streamsLog), Thresholds{FirstEvent: 500 * time.Millisecond, Pause: 200 * time.Millisecond}, 2*time.Second)
 	assert.NilError(t, err)
 	assert.Equal(t, s.Streams, 5)
-	assert.DeepEqual(t, s.Causes, map[Cause]int{InTime: 1, Crossing: 1, Dead: 1, "left": 1, "full": 1})
+	assert.DeepEqual(t, s.Causes, map[Cause]int{InTime: 1, PauseAcrossDataCenters: 1, DeadEngine: 1, "left": 1, "full": 1})
 	assert.Equal(t, len(s.Spans), 2)
 	assert.Equal(t, s.Spans[0].Streams, 2, "grouped by start time, not by end time")
 	assert.Equal(t, s.Spans[0].Crossings, 0.5)
-	assert.DeepEqual(t, s.Engines[0], Share{Engine: "i-1", Where: "a l4", Of: 0.8})
+	assert.DeepEqual(t, s.Engines[0], EngineShare{Engine: "i-1", Where: "a l4", Of: 0.8})
 	var b strings.Builder
 	assert.NilError(t, s.WriteText(&b))
 	assert.Assert(t, strings.Contains(b.String(), "14:28:40.000       2        1       0.50  pause, path crosses data centres 1"), b.String())
