--- a/peridotknot/replay.go
+++ b/peridotknot/replay.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	report := pktrace.Judge("replay", out, ledger, expect, c.Capacity)
+	report := pktrace.Evaluate("replay", out, ledger, expect, c.Capacity)
 	if err := printReport(&report); err != nil {
 		return err
 	}
--- a/peridotknot/try.go
+++ b/peridotknot/try.go
@@ -146,7 +146,7 @@
 	if err != nil {
 		return pktrace.Report{}, err
 	}
-	return pktrace.Judge(name, out, lab.World.Ledger(), expect, capacity), nil
+	return pktrace.Evaluate(name, out, lab.World.Ledger(), expect, capacity), nil
 }
 
 func readTrace(name, file string, raw []byte) ([]pktrace.Line, pktrace.Expect, error) {
--- a/pklab/lab.go
+++ b/pklab/lab.go
@@ -265,15 +265,15 @@
 			return l.Upgrade()
 		}
 		return l.Republish()
-	case pktrace.FaultEntry:
+	case pktrace.FaultEntryStop:
 		i, err := strconv.Atoi(f.Target)
 		if err != nil || i >= len(l.entries) {
 			return fmt.Errorf("there is no entry %q", f.Target)
 		}
 		return l.StopEntry(i)
-	case pktrace.FaultReplace:
+	case pktrace.FaultReplaceEntries:
 		return l.ReplaceEntries()
-	case pktrace.FaultKill, pktrace.FaultSilence, pktrace.FaultSlow, pktrace.FaultLeave, pktrace.FaultStore, pktrace.FaultVMList, pktrace.FaultLostSwap:
+	case pktrace.FaultKill, pktrace.FaultSilence, pktrace.FaultSlow, pktrace.FaultLeave, pktrace.FaultStoreDown, pktrace.FaultVMListEmpty, pktrace.FaultStoreAnswerLost:
 	}
 	return l.World.Fault(f)
 }
--- a/pklab/rollout_test.go
+++ b/pklab/rollout_test.go
@@ -61,5 +61,5 @@
 	})
 	newOwner := poolOwner(l, 3)
 	assert.Assert(t, newOwner >= 0 && newOwner != oldOwner, "owner is %d, was %d", newOwner, oldOwner)
-	assert.Equal(t, l.World.Ledger().Broken, 0)
+	assert.Equal(t, l.World.Ledger().ViolationCount, 0)
 }
--- a/pkstandin/contract_test.go
+++ b/pkstandin/contract_test.go
@@ -65,9 +65,9 @@
 	key := attemptKey{stream: "s", attempt: 1}
 	_, alive := e.processToken(key, 0, 0)
 	assert.Assert(t, alive)
-	assert.Equal(t, env.Ledger().Broken, 0)
+	assert.Equal(t, env.Ledger().ViolationCount, 0)
 	e.processToken(key, 0, 0) // token repeated
 	e.processToken(key, 5, 0) // tokens skipped
 	e.processToken(key, 6, 2) // layers skipped
-	assert.Equal(t, env.Ledger().Broken, 3)
+	assert.Equal(t, env.Ledger().ViolationCount, 3)
 }
--- a/pkstandin/engine.go
+++ b/pkstandin/engine.go
@@ -289,7 +289,7 @@
 	if !g.wait(prefill) {
 		return
 	}
-	mark := pktrace.Mark(g.open.Prompt)
+	mark := pktrace.TokenMark(g.open.Prompt)
 	end := pkid.TokenIndex(g.open.MaxTokens)
 	for i := g.open.Next; i < end; i++ {
 		if !g.wait(g.tokenTime()) {
--- a/pkstandin/environment.go
+++ b/pkstandin/environment.go
@@ -233,7 +233,7 @@
 func (env *World) Ledger() pktrace.Ledger {
 	env.mu.Lock()
 	defer env.mu.Unlock()
-	out := pktrace.Ledger{Runs: map[string]int{}, Violations: append([]string{}, env.violations...), Broken: env.violationCount, StoreCalls: env.KV.Calls()}
+	out := pktrace.Ledger{Runs: map[string]int{}, Violations: append([]string{}, env.violations...), ViolationCount: env.violationCount, StoreCalls: env.KV.Calls()}
 	for call, n := range env.callRuns {
 		out.Runs[call] = n
 	}
--- a/pkstandin/fault.go
+++ b/pkstandin/fault.go
@@ -38,19 +38,19 @@
 func (env *World) Fault(f pktrace.Fault) error {
 	extra := time.Duration(f.ExtraMS) * time.Millisecond
 	switch f.Name {
-	case pktrace.FaultStore:
+	case pktrace.FaultStoreDown:
 		env.KV.SetDown(true)
 		env.revertAfter(f, func() { env.KV.SetDown(false) })
 		return nil
-	case pktrace.FaultLostSwap:
+	case pktrace.FaultStoreAnswerLost:
 		env.KV.LoseAnswers(1)
 		return nil
-	case pktrace.FaultVMList:
+	case pktrace.FaultVMListEmpty:
 		env.emptyList.Store(true)
 		env.revertAfter(f, func() { env.emptyList.Store(false) })
 		return nil
 	case pktrace.FaultKill, pktrace.FaultSilence, pktrace.FaultSlow, pktrace.FaultLeave:
-	case pktrace.FaultPublish, pktrace.FaultEntry, pktrace.FaultReplace:
+	case pktrace.FaultPublish, pktrace.FaultEntryStop, pktrace.FaultReplaceEntries:
 		return fmt.Errorf("fault %q is not the stand-ins' to bring about", f.Name)
 	default:
 		return fmt.Errorf("there is no fault %q", f.Name)
--- a/pktrace/exchange.go
+++ b/pktrace/exchange.go
@@ -42,16 +42,16 @@
 	return text + strings.Repeat("word", max(tokens-len(text)/bytesPerToken-4, 0))
 }
 
-// Mark returns the mark that stand-in engines put into each token of the answer to a prompt. It
+// TokenMark returns the mark that stand-in engines put into each token of the answer to a prompt. It
 // reveals tokens that are delivered to the wrong caller.
-func Mark(prompt string) string {
+func TokenMark(prompt string) string {
 	return strconv.FormatUint(xxhash.Sum64String(prompt)&0xffffff, 36)
 }
 
 // chatMark returns the mark for a prompt that is sent as the only message of a chat.
 func chatMark(prompt string) string {
 	r := pkopenai.Request{Messages: []pkopenai.Message{{Role: "user", Content: pkopenai.Content(prompt)}}}
-	return Mark(r.PromptText(pkopenai.Chat))
+	return TokenMark(r.PromptText(pkopenai.Chat))
 }
 
 func (e *exchange) send(ctx context.Context, method, path string, body []byte) (*http.Response, error) {
--- a/pktrace/line.go
+++ b/pktrace/line.go
@@ -58,16 +58,16 @@
 
 // Kinds of faults.
 const (
-	FaultKill     FaultName = "kill"
-	FaultSilence  FaultName = "silence"
-	FaultSlow     FaultName = "slow"
-	FaultLeave    FaultName = "leave"
-	FaultStore    FaultName = "store_down"
-	FaultVMList   FaultName = "vm_list_empty"
-	FaultPublish  FaultName = "publish"
-	FaultEntry    FaultName = "entry_stop"
-	FaultReplace  FaultName = "replace_entries"
-	FaultLostSwap FaultName = "store_answer_lost"
+	FaultKill            FaultName = "kill"
+	FaultSilence         FaultName = "silence"
+	FaultSlow            FaultName = "slow"
+	FaultLeave           FaultName = "leave"
+	FaultStoreDown       FaultName = "store_down"
+	FaultVMListEmpty     FaultName = "vm_list_empty"
+	FaultPublish         FaultName = "publish"
+	FaultEntryStop       FaultName = "entry_stop"
+	FaultReplaceEntries  FaultName = "replace_entries"
+	FaultStoreAnswerLost FaultName = "store_answer_lost"
 )
 
 // At returns the offset of the line from the start of the trace.
--- a/pktrace/replay.go
+++ b/pktrace/replay.go
@@ -73,8 +73,8 @@
 	Results []Result
 	Faults  []InjectedFault
 	Took    time.Duration
-	// Between holds the times between tokens in microseconds.
-	Between *hdrhistogram.Histogram
+	// TokenGaps holds the times between tokens in microseconds.
+	TokenGaps *hdrhistogram.Histogram
 }
 
 // Run replays the trace. Requests are sent at their recorded times, regardless of the responses.
@@ -102,7 +102,7 @@
 	background.Go(func() { pktimer.Every(ctx, readyInterval, s.pollReady) })
 	background.Go(func() { pktimer.Every(ctx, time.Second, s.progress) })
 	err := s.sendAll(ctx)
-	return Outcome{Results: s.results, Faults: s.faults, Took: time.Since(s.start), Between: s.tokenGaps}, err
+	return Outcome{Results: s.results, Faults: s.faults, Took: time.Since(s.start), TokenGaps: s.tokenGaps}, err
 }
 
 func newClient() *http.Client {
--- a/pktrace/report.go
+++ b/pktrace/report.go
@@ -16,14 +16,14 @@
 	// Counts holds the number of requests of each class.
 	Counts map[string]int `json:"counts"`
 	// The number of calls that ran although they were refused as not run.
-	Told int `json:"told_not_run_but_ran"`
+	NotRunButRan int `json:"told_not_run_but_ran"`
 	// The number of violations of the layer order.
-	Broken        int         `json:"layer_order_broken"`
-	FirstToken    Percentiles `json:"first_token"`
-	BetweenTokens Percentiles `json:"between_tokens"`
-	Goodput       Goodput     `json:"goodput"`
-	Recoveries    []Recovery  `json:"recoveries"`
-	StoreCalls    int64       `json:"store_calls"`
+	LayerOrderViolations int         `json:"layer_order_broken"`
+	FirstToken           Percentiles `json:"first_token"`
+	BetweenTokens        Percentiles `json:"between_tokens"`
+	Goodput              Goodput     `json:"goodput"`
+	Recoveries           []Recovery  `json:"recoveries"`
+	StoreCalls           int64       `json:"store_calls"`
 	// Misses describe the stated outcomes that do not hold.
 	Misses []string `json:"misses"`
 	// Examples describe some requests that were not whole.
@@ -68,10 +68,10 @@
 	maxExamples  = 8
 )
 
-// Judge compares the results of a replay with the stated outcome. Capacity is the rate in tokens
+// Evaluate compares the results of a replay with the stated outcome. Capacity is the rate in tokens
 // per second that the engines can generate, or zero if unknown.
-func Judge(name string, o Outcome, l Ledger, x Expect, capacity float64) Report {
-	r := Report{Name: name, Took: o.Took, Counts: map[string]int{}, Broken: l.Broken, StoreCalls: l.StoreCalls, results: o.Results}
+func Evaluate(name string, o Outcome, l Ledger, x Expect, capacity float64) Report {
+	r := Report{Name: name, Took: o.Took, Counts: map[string]int{}, LayerOrderViolations: l.ViolationCount, StoreCalls: l.StoreCalls, results: o.Results}
 	first := hdrhistogram.New(1, microsPerHour, histogramDigits)
 	for i := range o.Results {
 		res := &o.Results[i]
@@ -85,7 +85,7 @@
 		r.Counts[c.String()] += 0
 	}
 	r.FirstToken = percentiles(first)
-	r.BetweenTokens = percentiles(o.Between)
+	r.BetweenTokens = percentiles(o.TokenGaps)
 	r.setGoodput(o, capacity)
 	r.setRecoveries(o)
 	r.checkExpect(x)
@@ -103,7 +103,7 @@
 		res.Detail = fmt.Sprintf("the call ran %d times", runs)
 	}
 	if res.Class == Refused && runs > 0 {
-		r.Told++
+		r.NotRunButRan++
 	}
 	r.Requests++
 	r.Counts[res.Class.String()]++
@@ -186,8 +186,8 @@
 func (r *Report) checkExpect(x Expect) {
 	r.checkNone(Doubled.String(), r.Counts[Doubled.String()])
 	r.checkNone(Crossed.String(), r.Counts[Crossed.String()])
-	r.checkNone("told not run but ran", r.Told)
-	r.checkNone("layers out of order", r.Broken)
+	r.checkNone("told not run but ran", r.NotRunButRan)
+	r.checkNone("layers out of order", r.LayerOrderViolations)
 	r.checkShare(Lost, x.MaxLostShare)
 	r.checkShare(Late, x.MaxLateShare)
 	r.checkShare(Refused, x.MaxRefusedShare)
--- a/pktrace/report_test.go
+++ b/pktrace/report_test.go
@@ -15,7 +15,7 @@
 }
 
 func outcomeOf(results ...Result) Outcome {
-	return Outcome{Results: results, Took: 10 * time.Second, Between: hdrhistogram.New(1, 1_000_000, 3)}
+	return Outcome{Results: results, Took: 10 * time.Second, TokenGaps: hdrhistogram.New(1, 1_000_000, 3)}
 }
 
 func callLine(idempotent bool) Line {
@@ -35,12 +35,12 @@
 		"refused as not run, but it ran":  {Result{Line: callLine(false), Class: Refused, Call: "c"}, Ledger{Runs: map[string]int{"c": 1}}, "told not run but ran: 1"},
 		"refused as not run, and not run": {Result{Line: callLine(false), Class: Refused, Call: "c"}, Ledger{}, ""},
 		"answer of another request":       {Result{Line: callLine(false), Class: Crossed, Call: "c"}, Ledger{}, "crossed: 1"},
-		"layers out of order":             {Result{Line: callLine(false), Class: Whole, Call: "c"}, Ledger{Broken: 1, Violations: []string{"x"}}, "layers out of order: 1"},
+		"layers out of order":             {Result{Line: callLine(false), Class: Whole, Call: "c"}, Ledger{ViolationCount: 1, Violations: []string{"x"}}, "layers out of order: 1"},
 		"fault that was not injected":     {Result{Line: Line{Kind: KindFault, Fault: &Fault{Name: FaultKill}}, Class: Lost}, Ledger{}, "fault kill did not come about"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			r := Judge(name, outcomeOf(c.result), c.ledger, laxExpect, 0)
+			r := Evaluate(name, outcomeOf(c.result), c.ledger, laxExpect, 0)
 			assert.Equal(t, r.Held(), c.miss == "", r.Misses)
 			assert.Assert(t, strings.Contains(strings.Join(r.Misses, "\n"), c.miss), r.Misses)
 		})
@@ -56,7 +56,7 @@
 	)
 	o.Faults = []InjectedFault{{Fault: Fault{Name: FaultKill, Target: "e"}, At: time.Second}}
 	strict := Expect{FirstTokenP95: time.Millisecond, BetweenTokensP95: time.Hour, MinGoodputShare: 0.9, MaxRecovery: 2500 * time.Millisecond}
-	r := Judge("strict", o, Ledger{}, strict, 1000)
+	r := Evaluate("strict", o, Ledger{}, strict, 1000)
 	all := strings.Join(r.Misses, "\n")
 	for _, part := range []string{"lost: 0.3333", "late: 0.3333", "first token p95 is 1", "goodput is 0.333", "recovery from kill e is 3s"} {
 		assert.Assert(t, strings.Contains(all, part), "%s\n%s", part, all)
--- a/pktrace/text.go
+++ b/pktrace/text.go
@@ -15,7 +15,7 @@
 		n := r.Counts[c.String()]
 		fmt.Fprintf(&b, "  %-8s %6d  %6.2f%%\n", c, n, 100*float64(n)/float64(max(r.Requests, 1)))
 	}
-	fmt.Fprintf(&b, "  told not run but ran: %d, layers out of order: %d\n", r.Told, r.Broken)
+	fmt.Fprintf(&b, "  told not run but ran: %d, layers out of order: %d\n", r.NotRunButRan, r.LayerOrderViolations)
 	fmt.Fprintf(&b, "  first token     p50 %-10s p95 %-10s p99 %s\n", r.FirstToken.P50, r.FirstToken.P95, r.FirstToken.P99)
 	fmt.Fprintf(&b, "  between tokens  p50 %-10s p95 %-10s p99 %s\n", r.BetweenTokens.P50, r.BetweenTokens.P95, r.BetweenTokens.P99)
 	g := r.Goodput
