--- a/pksample/make.go
+++ b/pksample/make.go
@@ -14,27 +14,27 @@
 // Profile describes a user's workload.
 type Profile struct {
 	// The length of the trace.
-	Lasts    time.Duration
+	Duration time.Duration
 	Accounts []pkid.AccountID
 	// Shares are the relative weights of the accounts in the requests.
 	Shares []float64
 	// The rates of model requests and of service calls per second, and the factor by which both are
 	// multiplied during the burst.
-	Models   float64
-	Calls    float64
-	Burst    float64
-	BurstAt  time.Duration
-	BurstFor time.Duration
-	Model    pkid.ModelID
+	ModelRate     float64
+	CallRate      float64
+	BurstFactor   float64
+	BurstStart    time.Duration
+	BurstDuration time.Duration
+	Model         pkid.ModelID
 	// The median numbers of tokens of a model request.
-	Prompt   int
-	Output   int
-	Deadline time.Duration
-	Service  pkid.ServiceID
+	MedianPromptTokens int
+	MedianOutputTokens int
+	ModelDeadline      time.Duration
+	Service            pkid.ServiceID
 	// The fraction of service calls that are idempotent.
-	Reads        float64
-	CallDeadline time.Duration
-	Faults       []pktrace.Line
+	IdempotentShare float64
+	CallDeadline    time.Duration
+	Faults          []pktrace.Line
 }
 
 func faultLine(at time.Duration, f pktrace.Fault) pktrace.Line {
@@ -43,12 +43,12 @@
 
 var profiles = map[string]Profile{
 	"aare": {
-		Lasts:    18 * time.Second,
-		Accounts: accounts("mitglieder", "versammlung", "redaktion", "bern", "thun", "jugend", "verwaltung", "revision"),
-		Shares:   []float64{8, 6, 2, 1, 1, 1, 1, 0.5},
-		Models:   40, Calls: 60, Burst: 2.5, BurstAt: 6 * time.Second, BurstFor: 4 * time.Second,
-		Model: "budget-de", Prompt: 180, Output: 48, Deadline: 8 * time.Second,
-		Service: "voting", Reads: 0.6, CallDeadline: 2 * time.Second,
+		Duration:  18 * time.Second,
+		Accounts:  accounts("mitglieder", "versammlung", "redaktion", "bern", "thun", "jugend", "verwaltung", "revision"),
+		Shares:    []float64{8, 6, 2, 1, 1, 1, 1, 0.5},
+		ModelRate: 40, CallRate: 60, BurstFactor: 2.5, BurstStart: 6 * time.Second, BurstDuration: 4 * time.Second,
+		Model: "budget-de", MedianPromptTokens: 180, MedianOutputTokens: 48, ModelDeadline: 8 * time.Second,
+		Service: "voting", IdempotentShare: 0.6, CallDeadline: 2 * time.Second,
 		Faults: []pktrace.Line{
 			faultLine(500*time.Millisecond, pktrace.Fault{Name: pktrace.FaultPublish, Target: "upgrade"}),
 			faultLine(2*time.Second, pktrace.Fault{Name: pktrace.FaultKill, Target: "aare-model-0-a-1", ForMS: 2500}),
@@ -60,12 +60,12 @@
 		},
 	},
 	"glenmore": {
-		Lasts:    18 * time.Second,
-		Accounts: accounts("clubs-north", "clubs-south", "parents", "scouts", "camps", "coaches", "halls", "office"),
-		Shares:   []float64{6, 5, 4, 2, 2, 1, 1, 0.5},
-		Models:   85, Calls: 120, Burst: 1.4, BurstAt: 8 * time.Second, BurstFor: 4 * time.Second,
-		Model: "drafting", Prompt: 120, Output: 44, Deadline: 10 * time.Second,
-		Service: "booking", Reads: 0.4, CallDeadline: 2 * time.Second,
+		Duration:  18 * time.Second,
+		Accounts:  accounts("clubs-north", "clubs-south", "parents", "scouts", "camps", "coaches", "halls", "office"),
+		Shares:    []float64{6, 5, 4, 2, 2, 1, 1, 0.5},
+		ModelRate: 85, CallRate: 120, BurstFactor: 1.4, BurstStart: 8 * time.Second, BurstDuration: 4 * time.Second,
+		Model: "drafting", MedianPromptTokens: 120, MedianOutputTokens: 44, ModelDeadline: 10 * time.Second,
+		Service: "booking", IdempotentShare: 0.4, CallDeadline: 2 * time.Second,
 		Faults: []pktrace.Line{
 			faultLine(2*time.Second, pktrace.Fault{Name: pktrace.FaultKill, Target: "drafting-pool-16-a-2", ForMS: 2500}),
 			faultLine(5*time.Second, pktrace.Fault{Name: pktrace.FaultSlow, Target: "drafting-pool-0-b-1", ForMS: 2000, ExtraMS: 60}),
@@ -87,8 +87,8 @@
 		return nil, fmt.Errorf("unknown sample %q, expected one of %v", sample, Names)
 	}
 	g := generator{Profile: p, rand: rand.New(rand.NewPCG(seed, seed))}
-	lines := g.arrivals(p.Models, g.modelLine)
-	lines = append(lines, g.arrivals(p.Calls, g.callLine)...)
+	lines := g.arrivals(p.ModelRate, g.modelLine)
+	lines = append(lines, g.arrivals(p.CallRate, g.callLine)...)
 	if !calm {
 		lines = append(lines, p.Faults...)
 	}
@@ -111,11 +111,11 @@
 	var out []pktrace.Line
 	for at := time.Duration(0); ; {
 		current := rate
-		if at >= g.BurstAt && at < g.BurstAt+g.BurstFor {
-			current *= g.Burst
+		if at >= g.BurstStart && at < g.BurstStart+g.BurstDuration {
+			current *= g.BurstFactor
 		}
 		at += time.Duration(g.rand.ExpFloat64() / current * float64(time.Second))
-		if at >= g.Lasts {
+		if at >= g.Duration {
 			return out
 		}
 		out = append(out, complete(pktrace.Line{AtMS: at.Milliseconds(), Account: g.drawAccount()}))
@@ -140,9 +140,9 @@
 	l.Kind = pktrace.KindModel
 	l.Model = g.Model
 	l.Stream = g.rand.Float64() < 0.8
-	l.PromptTokens = pkid.Tokens(g.drawSize(g.Prompt))
-	l.OutputTokens = pkid.Tokens(g.drawSize(g.Output))
-	l.DeadlineMS = g.Deadline.Milliseconds()
+	l.PromptTokens = pkid.Tokens(g.drawSize(g.MedianPromptTokens))
+	l.OutputTokens = pkid.Tokens(g.drawSize(g.MedianOutputTokens))
+	l.DeadlineMS = g.ModelDeadline.Milliseconds()
 	return l
 }
 
@@ -157,7 +157,7 @@
 func (g *generator) callLine(l pktrace.Line) pktrace.Line {
 	l.Kind = pktrace.KindCall
 	l.Service = g.Service
-	l.Idempotent = g.rand.Float64() < g.Reads
+	l.Idempotent = g.rand.Float64() < g.IdempotentShare
 	l.Method = "POST"
 	l.BodyBytes = int64(g.drawSize(300))
 	// Some calls that are not idempotent, such as the lookup of a ballot, are GET requests too.
