--- a/pklab/lab.go
+++ b/pklab/lab.go
@@ -47,7 +47,7 @@
 
 // Lab is a running deployment of stand-ins and entries.
 type Lab struct {
-	World       *pkstandin.World
+	World       *pkstandin.Environment
 	Store       *pketcd.Client
 	opts        Options
 	tracer      trace.Tracer
@@ -275,7 +275,7 @@
 		return l.ReplaceEntries()
 	case pktrace.FaultKill, pktrace.FaultSilence, pktrace.FaultSlow, pktrace.FaultLeave, pktrace.FaultStoreDown, pktrace.FaultVMListEmpty, pktrace.FaultStoreAnswerLost:
 	}
-	return l.World.Fault(f)
+	return l.World.InjectFault(f)
 }
 
 // Republish publishes the manifest again with an appended comment, so that only its digest changes.
--- a/pklab/lab_test.go
+++ b/pklab/lab_test.go
@@ -33,7 +33,7 @@
 		speed.Base, speed.PerSeq, speed.Prefill = time.Microsecond, 0, 0
 		s.Kinds[kind] = speed
 	}
-	s.Link = 0
+	s.LinkDelay = 0
 	for i := range s.Engines {
 		s.Engines[i].Count = 2
 	}
--- a/pkmeasure/datapath.go
+++ b/pkmeasure/datapath.go
@@ -48,7 +48,7 @@
 		speed.Batch = 4 * concurrentStreams
 		s.Kinds[kind] = speed
 	}
-	s.Link = 0
+	s.LinkDelay = 0
 	for i := range s.Engines {
 		s.Engines[i].Count = perGroup
 	}
--- a/pkstandin/capacity.go
+++ b/pkstandin/capacity.go
@@ -16,7 +16,7 @@
 // A sequence occupies one batch slot in each engine of its chain and produces a token in the sum of
 // their step times. The bound maximizes the throughput over all mixes of chains, with each layer
 // range limited to its batch slots. This is a small linear program.
-func (env *World) Capacity(model pkid.ModelID) (float64, error) {
+func (env *Environment) Capacity(model pkid.ModelID) (float64, error) {
 	ranges := map[pkid.Range]rangeCapacity{}
 	for _, g := range env.settings.Engines {
 		if g.Model != model {
--- a/pkstandin/contract_test.go
+++ b/pkstandin/contract_test.go
@@ -15,12 +15,12 @@
 	"peridotknot.example/pktrace"
 )
 
-func startEnvironment(t *testing.T) *World {
+func startEnvironment(t *testing.T) *Environment {
 	env, err := Start(Settings{
 		Store: anyPort, Platform: anyPort, Admin: anyPort,
 		Kinds: map[pkid.AcceleratorKind]Speed{"a": {Base: time.Microsecond, Batch: 8}},
 		Engines: []EngineGroup{{
-			Pool: "p", Kind: "a", Count: 1, DataCenters: []pkid.DataCenter{"d"}, Model: "m", Version: "1", End: 4, Enforces: true,
+			Pool: "p", Kind: "a", Count: 1, DataCenters: []pkid.DataCenter{"d"}, Model: "m", Version: "1", End: 4, EnforcesFencing: true,
 		}},
 	})
 	assert.NilError(t, err)
@@ -52,7 +52,7 @@
 	c.Forget()
 	_, err = c.VMs(t.Context())
 	assert.NilError(t, err)
-	assert.NilError(t, env.Fault(pktrace.Fault{Name: pktrace.FaultLeave, Target: string(list[0].ID)}))
+	assert.NilError(t, env.InjectFault(pktrace.Fault{Name: pktrace.FaultLeave, Target: string(list[0].ID)}))
 	list, err = c.VMs(t.Context())
 	assert.NilError(t, err)
 	assert.Assert(t, list[0].Leaving)
--- a/pkstandin/engine.go
+++ b/pkstandin/engine.go
@@ -30,7 +30,7 @@
 type Engine struct {
 	info  pktarget.Info
 	speed Speed
-	env   *World
+	env   *Environment
 	srv   *server
 
 	mu        sync.Mutex
@@ -261,7 +261,7 @@
 
 // generation is an attempt of a stream, run by the first engine of the route.
 type generation struct {
-	env          *World
+	env          *Environment
 	open         pkengine.OpenRequest
 	stages       []*Engine
 	w            http.ResponseWriter
@@ -318,7 +318,7 @@
 	for i, s := range g.stages {
 		t += s.step()
 		if i > 0 && g.stages[i-1].info.DataCenter != s.info.DataCenter {
-			t += g.env.settings.Link
+			t += g.env.settings.LinkDelay
 		}
 	}
 	return t
@@ -381,7 +381,7 @@
 
 // stages returns the engines of a route. It fails unless each engine has loaded the model, version
 // and layers that the route names.
-func (env *World) stages(o pkengine.OpenRequest) ([]*Engine, error) {
+func (env *Environment) stages(o pkengine.OpenRequest) ([]*Engine, error) {
 	var out []*Engine
 	for _, hop := range o.Route {
 		e, found := env.engines[hop.Target]
--- a/pkstandin/environment.go
+++ b/pkstandin/environment.go
@@ -18,8 +18,8 @@
 	"peridotknot.example/pktrace"
 )
 
-// World runs a set of stand-ins.
-type World struct {
+// Environment runs a set of stand-ins.
+type Environment struct {
 	KV       *KV
 	settings Settings
 
@@ -43,8 +43,8 @@
 }
 
 // Start starts all stand-ins. If one fails to start, the others are stopped.
-func Start(s Settings) (*World, error) {
-	env := &World{
+func Start(s Settings) (*Environment, error) {
+	env := &Environment{
 		KV:       NewKV(),
 		settings: s,
 		engines:  map[pkid.TargetID]*Engine{},
@@ -62,7 +62,7 @@
 	return env, nil
 }
 
-func (env *World) startPlatform() error {
+func (env *Environment) startPlatform() error {
 	var err error
 	if env.kv, err = newServer(env.settings.Store, env.KV); err != nil {
 		return err
@@ -74,7 +74,7 @@
 	return err
 }
 
-func (env *World) startEngines() error {
+func (env *Environment) startEngines() error {
 	for _, g := range env.settings.Engines {
 		speed, found := env.settings.Kinds[g.Kind]
 		if !found {
@@ -86,7 +86,7 @@
 				info:      pktarget.Info{ID: id, Pool: g.Pool, Kind: g.Kind, DataCenter: g.DataCenters[i%len(g.DataCenters)]},
 				speed:     speed,
 				env:       env,
-				enforces:  g.Enforces,
+				enforces:  g.EnforcesFencing,
 				current:   pkengine.Order{Model: g.Model, Version: g.Version, Adapters: g.Adapters, First: g.First, End: g.End},
 				nextIndex: map[attemptKey]pkid.TokenIndex{},
 				cancels:   map[attemptKey]chan struct{}{},
@@ -104,13 +104,13 @@
 	return nil
 }
 
-func (env *World) startServices() error {
+func (env *Environment) startServices() error {
 	for _, g := range env.settings.Services {
 		for i := range g.Count {
 			id := pkid.TargetID(fmt.Sprintf("%s-%d", g.Pool, i))
 			s := &Service{
 				info:           pktarget.Info{ID: id, Pool: g.Pool, DataCenter: g.DataCenters[i%len(g.DataCenters)]},
-				processingTime: g.Takes,
+				processingTime: g.ProcessingTime,
 				max:            g.Max,
 				env:            env,
 			}
@@ -128,7 +128,7 @@
 }
 
 // Close stops all stand-ins and waits for their termination.
-func (env *World) Close() {
+func (env *Environment) Close() {
 	close(env.closing)
 	env.timers.Wait()
 	for _, s := range env.servers() {
@@ -138,7 +138,7 @@
 	}
 }
 
-func (env *World) servers() []*server {
+func (env *Environment) servers() []*server {
 	out := []*server{env.kv, env.platform, env.admin}
 	for _, e := range env.engines {
 		out = append(out, e.srv)
@@ -150,15 +150,15 @@
 }
 
 // StoreAddr returns the address of the key-value service.
-func (env *World) StoreAddr() string { return env.kv.addr }
+func (env *Environment) StoreAddr() string { return env.kv.addr }
 
 // PlatformAddr returns the address of the VM list.
-func (env *World) PlatformAddr() string { return env.platform.addr }
+func (env *Environment) PlatformAddr() string { return env.platform.addr }
 
 // AdminAddr returns the address of the admin interface.
-func (env *World) AdminAddr() string { return env.admin.addr }
+func (env *Environment) AdminAddr() string { return env.admin.addr }
 
-func (env *World) serveVMs(rw http.ResponseWriter, r *http.Request) {
+func (env *Environment) serveVMs(rw http.ResponseWriter, r *http.Request) {
 	list := pkplatform.List{VMs: []pktarget.ListedTarget{}}
 	if !env.emptyList.Load() {
 		list.VMs = env.listedTargets()
@@ -177,7 +177,7 @@
 	_, _ = rw.Write(raw) // the client may have disconnected
 }
 
-func (env *World) listedTargets() []pktarget.ListedTarget {
+func (env *Environment) listedTargets() []pktarget.ListedTarget {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	out := []pktarget.ListedTarget{}
@@ -194,7 +194,7 @@
 	return out
 }
 
-func (env *World) layers(id pkid.ModelID) pkid.Layer {
+func (env *Environment) layers(id pkid.ModelID) pkid.Layer {
 	var last pkid.Layer
 	for _, g := range env.settings.Engines {
 		if g.Model == id {
@@ -206,7 +206,7 @@
 
 const maxViolations = 50
 
-func (env *World) recordViolation(format string, args ...any) {
+func (env *Environment) recordViolation(format string, args ...any) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	env.violationCount++
@@ -215,7 +215,7 @@
 	}
 }
 
-func (env *World) recordCall(call string) {
+func (env *Environment) recordCall(call string) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	if call != "" {
@@ -223,14 +223,14 @@
 	}
 }
 
-func (env *World) recordOrder(pkid.TargetID, pkengine.Order) {
+func (env *Environment) recordOrder(pkid.TargetID, pkengine.Order) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	env.orders++
 }
 
 // Ledger returns the recorded calls and violations.
-func (env *World) Ledger() pktrace.Ledger {
+func (env *Environment) Ledger() pktrace.Ledger {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	out := pktrace.Ledger{Runs: map[string]int{}, Violations: append([]string{}, env.violations...), ViolationCount: env.violationCount, StoreCalls: env.KV.Calls()}
@@ -241,7 +241,7 @@
 }
 
 // after calls do after d, unless the stand-ins are closed first.
-func (env *World) after(d time.Duration, do func()) {
+func (env *Environment) after(d time.Duration, do func()) {
 	env.timers.Go(func() {
 		t := time.NewTimer(d)
 		defer t.Stop()
--- a/pkstandin/fault.go
+++ b/pkstandin/fault.go
@@ -16,7 +16,7 @@
 	PathLedger = "/ledger"
 )
 
-func (env *World) adminHandler() http.Handler {
+func (env *Environment) adminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+PathFaults, func(rw http.ResponseWriter, r *http.Request) {
 		var f pktrace.Fault
@@ -24,7 +24,7 @@
 			http.Error(rw, err.Error(), http.StatusBadRequest)
 			return
 		}
-		if err := env.Fault(f); err != nil {
+		if err := env.InjectFault(f); err != nil {
 			http.Error(rw, err.Error(), http.StatusBadRequest)
 		}
 	})
@@ -34,8 +34,8 @@
 	return mux
 }
 
-// Fault injects a fault and reverts it after its duration, if it has one.
-func (env *World) Fault(f pktrace.Fault) error {
+// InjectFault injects a fault and reverts it after its duration, if it has one.
+func (env *Environment) InjectFault(f pktrace.Fault) error {
 	extra := time.Duration(f.ExtraMS) * time.Millisecond
 	switch f.Name {
 	case pktrace.FaultStoreDown:
@@ -43,7 +43,7 @@
 		env.revertAfter(f, func() { env.KV.SetDown(false) })
 		return nil
 	case pktrace.FaultStoreAnswerLost:
-		env.KV.LoseAnswers(1)
+		env.KV.DropResponses(1)
 		return nil
 	case pktrace.FaultVMListEmpty:
 		env.emptyList.Store(true)
@@ -65,13 +65,13 @@
 	return fmt.Errorf("there is no target %q", f.Target)
 }
 
-func (env *World) revertAfter(f pktrace.Fault, do func()) {
+func (env *Environment) revertAfter(f pktrace.Fault, do func()) {
 	if f.ForMS > 0 {
 		env.after(time.Duration(f.ForMS)*time.Millisecond, do)
 	}
 }
 
-func (env *World) engineFault(e *Engine, f pktrace.Fault, extra time.Duration) error {
+func (env *Environment) engineFault(e *Engine, f pktrace.Fault, extra time.Duration) error {
 	switch f.Name {
 	case pktrace.FaultKill:
 		e.dead.Store(true)
@@ -105,7 +105,7 @@
 }
 
 // removeEngine stops an engine and removes it from the VM list at the end of its notice period.
-func (env *World) removeEngine(e *Engine) {
+func (env *Environment) removeEngine(e *Engine) {
 	e.dead.Store(true)
 	e.srv.kill()
 	env.mu.Lock()
@@ -113,7 +113,7 @@
 	env.removed[e.info.ID] = true
 }
 
-func (env *World) serviceFault(s *Service, f pktrace.Fault, extra time.Duration) error {
+func (env *Environment) serviceFault(s *Service, f pktrace.Fault, extra time.Duration) error {
 	switch f.Name {
 	case pktrace.FaultKill:
 		s.srv.kill()
--- a/pkstandin/kv.go
+++ b/pkstandin/kv.go
@@ -62,11 +62,11 @@
 	}
 }
 
-// SetSlow delays each request by extra.
-func (k *KV) SetSlow(extra time.Duration) { k.extraDelay.Store(int64(extra)) }
+// SetDelay delays each request by extra.
+func (k *KV) SetDelay(extra time.Duration) { k.extraDelay.Store(int64(extra)) }
 
-// LoseAnswers makes the next n successful transactions take effect without a response.
-func (k *KV) LoseAnswers(n int) { k.dropResponses.Store(int64(n)) }
+// DropResponses makes the next n successful transactions take effect without a response.
+func (k *KV) DropResponses(n int) { k.dropResponses.Store(int64(n)) }
 
 // Snapshot returns a copy of the keys for Restore.
 func (k *KV) Snapshot() map[string]pketcd.KeyValue {
--- a/pkstandin/service.go
+++ b/pkstandin/service.go
@@ -28,7 +28,7 @@
 	info           pktarget.Info
 	processingTime time.Duration
 	max            int
-	env            *World
+	env            *Environment
 	srv            *server
 	active         atomic.Int64
 	extraDelay     atomic.Int64
--- a/pkstandin/settings.go
+++ b/pkstandin/settings.go
@@ -16,8 +16,8 @@
 	Store    string `yaml:"store"`
 	Platform string `yaml:"platform"`
 	Admin    string `yaml:"admin"`
-	// Link is the one-way delay between data centres.
-	Link time.Duration `yaml:"link"`
+	// LinkDelay is the one-way delay between data centres.
+	LinkDelay time.Duration `yaml:"link"`
 	// LoadTime is the time that an engine takes to load a model.
 	LoadTime time.Duration                  `yaml:"load_time"`
 	Kinds    map[pkid.AcceleratorKind]Speed `yaml:"kinds"`
@@ -27,25 +27,25 @@
 
 // EngineGroup configures a group of identical engines.
 type EngineGroup struct {
-	Pool        pkid.PoolID          `yaml:"pool"`
-	Kind        pkid.AcceleratorKind `yaml:"kind"`
-	Count       int                  `yaml:"count"`
-	DataCenters []pkid.DataCenter    `yaml:"data_centers"`
-	Model       pkid.ModelID         `yaml:"model"`
-	Version     pkid.Version         `yaml:"version"`
-	Adapters    []pkid.AdapterID     `yaml:"adapters"`
-	First       pkid.Layer           `yaml:"first"`
-	End         pkid.Layer           `yaml:"end"`
-	Enforces    bool                 `yaml:"enforces_fencing"`
+	Pool            pkid.PoolID          `yaml:"pool"`
+	Kind            pkid.AcceleratorKind `yaml:"kind"`
+	Count           int                  `yaml:"count"`
+	DataCenters     []pkid.DataCenter    `yaml:"data_centers"`
+	Model           pkid.ModelID         `yaml:"model"`
+	Version         pkid.Version         `yaml:"version"`
+	Adapters        []pkid.AdapterID     `yaml:"adapters"`
+	First           pkid.Layer           `yaml:"first"`
+	End             pkid.Layer           `yaml:"end"`
+	EnforcesFencing bool                 `yaml:"enforces_fencing"`
 }
 
 // ServiceGroup configures a group of identical services.
 type ServiceGroup struct {
-	Pool        pkid.PoolID       `yaml:"pool"`
-	Count       int               `yaml:"count"`
-	DataCenters []pkid.DataCenter `yaml:"data_centers"`
-	Takes       time.Duration     `yaml:"takes"`
-	Max         int               `yaml:"max"`
+	Pool           pkid.PoolID       `yaml:"pool"`
+	Count          int               `yaml:"count"`
+	DataCenters    []pkid.DataCenter `yaml:"data_centers"`
+	ProcessingTime time.Duration     `yaml:"takes"`
+	Max            int               `yaml:"max"`
 }
 
 // ParseSettings decodes and validates settings. Errors are of type pkyaml.Faults.
