--- a/peridotknot/try.go
+++ b/peridotknot/try.go
@@ -96,7 +96,7 @@
 			s.Listen.Peers = ""
 		}
 	}
-	return pklab.Start(ctx, pklab.Options{Standins: standins, Manifest: manifest, Entries: c.Entries, Log: log, Change: configure})
+	return pklab.Start(ctx, pklab.Options{Standins: standins, Manifest: manifest, Entries: c.Entries, Log: log, ModifySettings: configure})
 }
 
 func (c *tryCommand) runSample(ctx context.Context, name string) (pktrace.Report, error) {
@@ -136,7 +136,7 @@
 	if err != nil {
 		return pktrace.Report{}, err
 	}
-	capacity, err := lab.World.Capacity(firstModel(lines))
+	capacity, err := lab.Standins.Capacity(firstModel(lines))
 	if err != nil {
 		return pktrace.Report{}, err
 	}
@@ -146,7 +146,7 @@
 	if err != nil {
 		return pktrace.Report{}, err
 	}
-	return pktrace.Evaluate(name, out, lab.World.Ledger(), expect, capacity), nil
+	return pktrace.Evaluate(name, out, lab.Standins.Ledger(), expect, capacity), nil
 }
 
 func readTrace(name, file string, raw []byte) ([]pktrace.Line, pktrace.Expect, error) {
@@ -196,7 +196,7 @@
 	for i, a := range lab.Addresses() {
 		fmt.Printf("entry %d: callers http://%s  operators http://%s\n", i, a.Callers, a.Admin)
 	}
-	fmt.Printf("key-value service %s, VM list %s, stand-ins' faults and ledger http://%s\n", lab.World.StoreAddr(), lab.World.PlatformAddr(), lab.World.AdminAddr())
+	fmt.Printf("key-value service %s, VM list %s, stand-ins' faults and ledger http://%s\n", lab.Standins.StoreAddr(), lab.Standins.PlatformAddr(), lab.Standins.AdminAddr())
 	fmt.Printf("API key of %s: %s\n\n", m.Accounts[0].ID, key)
 	at := lab.Addresses()[0].Callers
 	fmt.Printf("curl -N http://%s/v1/chat/completions -H 'Authorization: Bearer %s' -d '{\"model\":\"%s\",\"stream\":true,\"max_tokens\":20,\"messages\":[{\"role\":\"user\",\"content\":\"hello\"}]}'\n", at, key, m.Models[0].ID)
--- a/pklab/claim_test.go
+++ b/pklab/claim_test.go
@@ -26,7 +26,7 @@
 	l := startLab(t, entries)
 	waitForNeighbors(t, l, entries)
 	for _, storeDown := range []bool{false, true} {
-		l.World.KV.SetDown(storeDown)
+		l.Standins.KV.SetDown(storeDown)
 		for round := range rounds {
 			name := fmt.Sprintf("%v-%d", storeDown, round)
 			var wg sync.WaitGroup
@@ -35,16 +35,16 @@
 				wg.Go(func() { status[i] = postBooking(t, l, i, name).StatusCode })
 			}
 			wg.Wait()
-			assert.Equal(t, l.World.Ledger().Runs[name], 1)
+			assert.Equal(t, l.Standins.Ledger().Runs[name], 1)
 			for _, s := range status {
 				assert.Assert(t, s == http.StatusOK || s == http.StatusConflict, s)
 			}
 			repeated := postBooking(t, l, round%entries, name)
 			assert.Equal(t, repeated.StatusCode, http.StatusConflict)
-			assert.Equal(t, l.World.Ledger().Runs[name], 1)
+			assert.Equal(t, l.Standins.Ledger().Runs[name], 1)
 		}
 	}
-	l.World.KV.SetDown(false)
+	l.Standins.KV.SetDown(false)
 }
 
 // Replacing all entries one by one must not lose idempotency claims: an entry that stops hands its
@@ -63,6 +63,6 @@
 	for i := range keys {
 		name := fmt.Sprint("night-", i)
 		assert.Equal(t, postBooking(t, l, last, name).StatusCode, http.StatusConflict)
-		assert.Equal(t, l.World.Ledger().Runs[name], 1)
+		assert.Equal(t, l.Standins.Ledger().Runs[name], 1)
 	}
 }
--- a/pklab/lab.go
+++ b/pklab/lab.go
@@ -41,13 +41,13 @@
 	Stop pkentry.Stop
 	// Tracer records the spans of the entries. If nil, spans are dropped.
 	Tracer trace.Tracer
-	// Change modifies the settings of entry i before it starts. It may be nil.
-	Change func(i int, s *pkentry.Settings)
+	// ModifySettings modifies the settings of entry i before it starts. It may be nil.
+	ModifySettings func(i int, s *pkentry.Settings)
 }
 
 // Lab is a running deployment of stand-ins and entries.
 type Lab struct {
-	World       *pkstandin.Environment
+	Standins    *pkstandin.Environment
 	Store       *pketcd.Client
 	opts        Options
 	tracer      trace.Tracer
@@ -80,7 +80,7 @@
 		return nil, err
 	}
 	l := &Lab{
-		World:    world,
+		Standins: world,
 		Store:    pketcd.New(world.StoreAddr(), pkconn.DefaultOptions()),
 		opts:     o,
 		tracer:   o.Tracer,
@@ -145,13 +145,13 @@
 		Region:     "lab",
 		DataCenter: centers[i%len(centers)],
 		Listen:     pkentry.Listen{Callers: loopback, Admin: loopback, Peers: loopback},
-		Store:      l.World.StoreAddr(),
-		Platform:   l.World.PlatformAddr(),
+		Store:      l.Standins.StoreAddr(),
+		Platform:   l.Standins.PlatformAddr(),
 		Peers:      pkentry.Peers{Neighborhood: pkentry.NeighborhoodRegion},
 		Stop:       l.opts.Stop,
 	}
-	if l.opts.Change != nil {
-		l.opts.Change(i, &s)
+	if l.opts.ModifySettings != nil {
+		l.opts.ModifySettings(i, &s)
 	}
 	return s
 }
@@ -275,7 +275,7 @@
 		return l.ReplaceEntries()
 	case pktrace.FaultKill, pktrace.FaultSilence, pktrace.FaultSlow, pktrace.FaultLeave, pktrace.FaultStoreDown, pktrace.FaultVMListEmpty, pktrace.FaultStoreAnswerLost:
 	}
-	return l.World.InjectFault(f)
+	return l.Standins.InjectFault(f)
 }
 
 // Republish publishes the manifest again with an appended comment, so that only its digest changes.
@@ -313,7 +313,7 @@
 // reports.
 func (l *Lab) Route(ctx context.Context, model pkid.ModelID) ([]pkengine.Hop, error) {
 	engines := pkengine.NewClient(pkconn.DefaultOptions(), time.Second)
-	platform := pkplatform.New(l.World.PlatformAddr(), pkconn.DefaultOptions())
+	platform := pkplatform.New(l.Standins.PlatformAddr(), pkconn.DefaultOptions())
 	defer func() { _ = errors.Join(engines.Close(), platform.Close()) }() // closes idle connections only
 	list, err := platform.VMs(ctx)
 	if err != nil {
@@ -352,6 +352,6 @@
 		errs = append(errs, e.err)
 	}
 	errs = append(errs, l.Store.Close())
-	l.World.Close()
+	l.Standins.Close()
 	return errors.Join(errs...)
 }
--- a/pklab/lab_test.go
+++ b/pklab/lab_test.go
@@ -219,5 +219,5 @@
 	assert.NilError(t, json.NewDecoder(resp.Body).Decode(&echo))
 	assert.Equal(t, echo.Bytes, int64(len(body)))
 	assert.Equal(t, resp.Header.Get(pkopenai.HeaderRequestID), "mine-7")
-	assert.Equal(t, l.World.Ledger().Runs["call-7"], 1)
+	assert.Equal(t, l.Standins.Ledger().Runs["call-7"], 1)
 }
--- a/pklab/latency_test.go
+++ b/pklab/latency_test.go
@@ -150,7 +150,7 @@
 }
 
 func callPaths(b *testing.B, l *Lab) (direct, routed func() *http.Request) {
-	list, err := pkplatform.New(l.World.PlatformAddr(), pkconn.DefaultOptions()).VMs(b.Context())
+	list, err := pkplatform.New(l.Standins.PlatformAddr(), pkconn.DefaultOptions()).VMs(b.Context())
 	assert.NilError(b, err)
 	addr := list[len(list)-1].Addr
 	direct = func() *http.Request { return request(b, http.MethodGet, "http://"+addr+"/records/1", nil) }
--- a/pklab/observe_test.go
+++ b/pklab/observe_test.go
@@ -57,12 +57,12 @@
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	o.Lab, err = Start(ctx, Options{
-		Standins: fastStandins(t),
-		Manifest: manifest,
-		Entries:  1,
-		Log:      hclog.New(&hclog.LoggerOptions{Level: hclog.Trace, Output: o.log}),
-		Tracer:   provider.Tracer("test"),
-		Change:   func(_ int, s *pkentry.Settings) { s.Record = o.record },
+		Standins:       fastStandins(t),
+		Manifest:       manifest,
+		Entries:        1,
+		Log:            hclog.New(&hclog.LoggerOptions{Level: hclog.Trace, Output: o.log}),
+		Tracer:         provider.Tracer("test"),
+		ModifySettings: func(_ int, s *pkentry.Settings) { s.Record = o.record },
 	})
 	assert.NilError(t, err)
 	t.Cleanup(func() { assert.NilError(t, o.Close()) })
--- a/pklab/peers_test.go
+++ b/pklab/peers_test.go
@@ -40,8 +40,8 @@
 	l := startLab(t, 2)
 	waitForNeighbors(t, l, 2)
 	seed := l.Entry(0).PeersAddr()
-	l.opts.Change = func(_ int, s *pkentry.Settings) { s.Peers.Seeds = []string{seed} }
-	l.World.KV.SetDown(true)
+	l.opts.ModifySettings = func(_ int, s *pkentry.Settings) { s.Peers.Seeds = []string{seed} }
+	l.Standins.KV.SetDown(true)
 	i, err := l.AddEntry()
 	assert.NilError(t, err)
 	assert.NilError(t, l.WaitReady(t.Context()))
@@ -49,7 +49,7 @@
 	assert.Equal(t, fresh.Revision, pkid.Revision(1))
 	assert.Assert(t, !fresh.StoreOK)
 
-	l.World.KV.SetDown(false)
+	l.Standins.KV.SetDown(false)
 	assert.NilError(t, l.Republish())
 	for i := range 3 {
 		eventually(t, "the next manifest is in force", func() bool { return status(l, i).Revision == 2 })
@@ -60,12 +60,12 @@
 // force. No entry may revert to it, and an alarm must be raised.
 func TestRestoredStoreIsRejected(t *testing.T) {
 	l := startLab(t, 2)
-	old := l.World.KV.Snapshot()
+	old := l.Standins.KV.Snapshot()
 	assert.NilError(t, l.Republish())
 	for i := range 2 {
 		eventually(t, "revision 2 is in force", func() bool { return status(l, i).Revision == 2 })
 	}
-	l.World.KV.Restore(old)
+	l.Standins.KV.Restore(old)
 	eventually(t, "an alarm is raised", func() bool { return status(l, 0).Alarm+status(l, 1).Alarm != "" })
 	assert.Equal(t, status(l, 0).Revision, pkid.Revision(2))
 	assert.Equal(t, status(l, 1).Revision, pkid.Revision(2))
@@ -75,7 +75,7 @@
 func TestDuplicateEntryID(t *testing.T) {
 	l := startLab(t, 2)
 	waitForNeighbors(t, l, 2)
-	l.opts.Change = func(_ int, s *pkentry.Settings) { s.Entry = "entry-0" }
+	l.opts.ModifySettings = func(_ int, s *pkentry.Settings) { s.Entry = "entry-0" }
 	_, err := l.AddEntry()
 	assert.NilError(t, err)
 	eventually(t, "the duplicate ID is reported", func() bool { return status(l, 1).Alarm != "" })
--- a/pklab/rollout_test.go
+++ b/pklab/rollout_test.go
@@ -16,7 +16,7 @@
 func countVersions(t *testing.T, l *Lab) map[pkid.Version]int {
 	t.Helper()
 	engines := pkengine.NewClient(pkconn.DefaultOptions(), time.Second)
-	platform := pkplatform.New(l.World.PlatformAddr(), pkconn.DefaultOptions())
+	platform := pkplatform.New(l.Standins.PlatformAddr(), pkconn.DefaultOptions())
 	defer func() {
 		assert.NilError(t, engines.Close())
 		assert.NilError(t, platform.Close())
@@ -61,5 +61,5 @@
 	})
 	newOwner := poolOwner(l, 3)
 	assert.Assert(t, newOwner >= 0 && newOwner != oldOwner, "owner is %d, was %d", newOwner, oldOwner)
-	assert.Equal(t, l.World.Ledger().ViolationCount, 0)
+	assert.Equal(t, l.Standins.Ledger().ViolationCount, 0)
 }
--- a/pkmeasure/control.go
+++ b/pkmeasure/control.go
@@ -48,7 +48,7 @@
 func controlCostFor(ctx context.Context, n int) (controlCost, error) {
 	seed := ""
 	l, err := startLab(ctx, 1, 0, func(o *pklab.Options) {
-		o.Change = func(_ int, s *pkentry.Settings) {
+		o.ModifySettings = func(_ int, s *pkentry.Settings) {
 			if seed != "" {
 				s.Peers.Seeds = []string{seed}
 			}
@@ -68,7 +68,7 @@
 		return controlCost{}, err
 	}
 	pktimer.Sleep(ctx, settleTime)
-	before, callsBefore := sentBytes(l, n), l.World.KV.Calls()
+	before, callsBefore := sentBytes(l, n), l.Standins.KV.Calls()
 	took := cpuTimeOf(func() { pktimer.Sleep(ctx, sampleTime) })
 	seconds := sampleTime.Seconds()
 	runtime.GC()
@@ -77,7 +77,7 @@
 	return controlCost{
 		cpu:   took.Seconds() / seconds / float64(n),
 		sent:  float64(sentBytes(l, n)-before) / seconds / float64(n),
-		calls: float64(l.World.KV.Calls()-callsBefore) / seconds,
+		calls: float64(l.Standins.KV.Calls()-callsBefore) / seconds,
 		heap:  float64(mem.HeapAlloc) / float64(n),
 	}, nil
 }
