--- a/peridotknot/measure.go
+++ b/peridotknot/measure.go
@@ -45,7 +45,7 @@
 		return err
 	}
 	for _, s := range series {
-		fmt.Printf("%-36s slope %.6g at 0 %.6g residual %.1f%% (%s by %s)\n", s.Name, s.Slope, s.At0, 100*s.Residual, s.Y, s.X)
+		fmt.Printf("%-36s slope %.6g at 0 %.6g residual %.1f%% (%s by %s)\n", s.Name, s.Slope, s.Intercept, 100*s.Residual, s.Y, s.X)
 	}
 	f, err := os.Create(c.Out)
 	if err != nil {
--- a/pkmeasure/series.go
+++ b/pkmeasure/series.go
@@ -18,12 +18,12 @@
 
 // Series is a measurement over one varied dimension, with its linear fit.
 type Series struct {
-	Name   string  `json:"name"`
-	X      string  `json:"x"`
-	Y      string  `json:"y"`
-	Points []Point `json:"points"`
-	Slope  float64 `json:"slope"`
-	At0    float64 `json:"at_0"`
+	Name      string  `json:"name"`
+	X         string  `json:"x"`
+	Y         string  `json:"y"`
+	Points    []Point `json:"points"`
+	Slope     float64 `json:"slope"`
+	Intercept float64 `json:"at_0"`
 	// Residual is the largest distance of a point from the line, relative to the largest value.
 	Residual float64 `json:"residual"`
 }
@@ -42,7 +42,7 @@
 	if d := n*sxx - sx*sx; d != 0 {
 		s.Slope = (n*sxy - sx*sy) / d
 	}
-	s.At0 = (sy - s.Slope*sx) / n
+	s.Intercept = (sy - s.Slope*sx) / n
 	for _, p := range s.Points {
 		if maxAbs > 0 {
 			s.Residual = max(s.Residual, math.Abs(p.Y-s.at(p.X))/maxAbs)
@@ -52,7 +52,7 @@
 }
 
 // at returns the value of the fitted line at x.
-func (s Series) at(x float64) float64 { return s.At0 + s.Slope*x }
+func (s Series) at(x float64) float64 { return s.Intercept + s.Slope*x }
 
 // Write writes series as JSON lines.
 func Write(w io.Writer, all []Series) error {
--- a/pkmeasure/table.go
+++ b/pkmeasure/table.go
@@ -95,7 +95,7 @@
 	}
 	b.WriteString("\n| series | slope | at 0 | largest residual | points |\n|---|---|---|---|---|\n")
 	for _, s := range all {
-		fmt.Fprintf(&b, "| %s | %.4g | %.4g | %.1f%% | %s |\n", s.Name, s.Slope, s.At0, 100*s.Residual, s.points())
+		fmt.Fprintf(&b, "| %s | %.4g | %.4g | %.1f%% | %s |\n", s.Name, s.Slope, s.Intercept, 100*s.Residual, s.points())
 	}
 	return b.String(), nil
 }
@@ -117,10 +117,10 @@
 			"5.5 M tokens/s, a token", "the handler reads an engine's event and writes the caller's; one hop in the entry", "slope of entry_processor_time_by_tokens",
 			dataPath.Slope, 15, "us", "",
 		},
-		{"15,000 requests/s, a request besides its tokens", "decode, account, admission, choice, one connection each way", "value at 0 of entry_processor_time_by_tokens", dataPath.At0, 250, "us", ""},
+		{"15,000 requests/s, a request besides its tokens", "decode, account, admission, choice, one connection each way", "value at 0 of entry_processor_time_by_tokens", dataPath.Intercept, 250, "us", ""},
 		{
 			"cores of an entry at the peak", "all entries alike; the balancer spreads", fmt.Sprintf("(%.0f tokens/s x slope + %.1f requests/s x value at 0) / 10^6", tokens, requests),
-			(tokens*dataPath.Slope + requests*dataPath.At0) / 1e6, 0, "cores", "sizes the VM: no limit is stated for the data path",
+			(tokens*dataPath.Slope + requests*dataPath.Intercept) / 1e6, 0, "cores", "sizes the VM: no limit is stated for the data path",
 		},
 		{
 			"p95 first token 0.46 s, 29 ms between tokens", "choice by corrected load and links", "benchmark and replay, see below",
--- a/pkmeasure/table_test.go
+++ b/pkmeasure/table_test.go
@@ -26,7 +26,7 @@
 func TestFit(t *testing.T) {
 	s := Series{Points: []Point{{1, 5}, {2, 7}, {3, 9}, {4, 11}}}.fit()
 	assert.Equal(t, s.Slope, 2.0)
-	assert.Equal(t, s.At0, 3.0)
+	assert.Equal(t, s.Intercept, 3.0)
 	assert.Equal(t, s.Residual, 0.0)
 	nonlinear := Series{Points: []Point{{1, 1}, {2, 4}, {3, 9}, {4, 16}}}.fit()
 	assert.Assert(t, nonlinear.Residual > 0.05)
