--- a/pkconfig/doc.go
+++ b/pkconfig/doc.go
@@ -1,6 +1,6 @@
 // Package pkconfig defines the operators' configuration that entries apply: routes
 // by host and path prefix, services, API keys and limits.
 //
-// A Config is one version of the configuration, a Table is a Config indexed for
-// lookups, and a Book holds the Table in force, whose version never decreases.
+// A Config is one version of the configuration and a Table is a Config indexed for
+// lookups. The version of the Table in force never decreases.
 package pkconfig
--- a/pkplatform/client.go
+++ b/pkplatform/client.go
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// VMs returns the platform's list, or ErrSame. The list is polled often and changes
-// rarely, so the request is conditional on the ETag of the last list.
+// VMs returns the platform's list, or an error if it has not changed. The list is
+// polled often and changes rarely, so the request is conditional on the last ETag.
 func (c *Client) VMs(ctx context.Context) ([]pktarget.Listed, error) {
 	var out List
 	etag, err := c.read(ctx, "http://"+c.addr+PathVMs, c.etag, &out)
@@ -83,8 +83,8 @@
 	return out, err
 }
 
-// read decodes a JSON response into out and returns its ETag, or ErrSame if the ETag
-// is still etag.
+// read decodes a JSON response into out and returns its ETag. It returns an error if
+// the ETag is still etag.
 func (c *Client) read(ctx context.Context, url, etag string, out any) (string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
