--- a/pkedge/suspect.go
+++ b/pkedge/suspect.go
@@ -59,7 +59,7 @@
 			flows = append(flows, f)
 		}
 	}
-	evidence := pkstall.Evidence{TieBreak: rand.Uint64(), Answered: func(id pkid.TargetID) time.Time {
+	evidence := pkstall.Evidence{Seed: rand.Uint64(), Answered: func(id pkid.TargetID) time.Time {
 		if t, found := d.roster.Target(id); found {
 			return t.LastAnsweredProbe()
 		}
--- a/pkentry/routes.go
+++ b/pkentry/routes.go
@@ -19,7 +19,7 @@
 
 // routeCache caches route plans and the targets of each pool until the target table changes.
 type routeCache struct {
-	links pkroute.Links
+	links pkroute.LinkDelays
 	from  pkid.DataCenter
 
 	mu      sync.RWMutex
@@ -28,8 +28,8 @@
 	pools   map[pkid.PoolID][]*pktarget.Target
 }
 
-func (s Settings) links() pkroute.Links {
-	l := pkroute.Links{Default: 250 * time.Microsecond, Delays: map[pkroute.Link]time.Duration{}}
+func (s Settings) links() pkroute.LinkDelays {
+	l := pkroute.LinkDelays{DefaultDelay: 250 * time.Microsecond, Delays: map[pkroute.Link]time.Duration{}}
 	for _, link := range s.Links {
 		l.Delays[pkroute.Link{From: link.From, To: link.To}] = link.Latency
 		l.Delays[pkroute.Link{From: link.To, To: link.From}] = link.Latency
@@ -53,12 +53,12 @@
 // chooseTarget is like Choose for a single target of a service pool.
 func (e *Entry) chooseTarget(now time.Time, pool pkid.PoolID, avoid []pkid.TargetID) (*pktarget.Target, error) {
 	all, a := e.pool(pool), e.criteria(now, avoid)
-	t, err := pkroute.ChooseTarget(all, a)
+	t, err := pkroute.ChooseServiceTarget(all, a)
 	if err == nil {
 		return t, nil
 	}
 	a.AllowEjected = true
-	return pkroute.ChooseTarget(all, a)
+	return pkroute.ChooseServiceTarget(all, a)
 }
 
 func (e *Entry) criteria(now time.Time, avoid []pkid.TargetID) pkroute.ChooseOptions {
--- a/pkroute/chain.go
+++ b/pkroute/chain.go
@@ -37,7 +37,7 @@
 	From pkid.DataCenter
 	// Avoid are targets that have already failed this request.
 	Avoid []pkid.TargetID
-	Links Links
+	Links LinkDelays
 	Rand  *rand.Rand
 	// AllowEjected also allows targets that failed recently, for when no others are left.
 	AllowEjected bool
--- a/pkroute/chain_test.go
+++ b/pkroute/chain_test.go
@@ -99,7 +99,7 @@
 	near.Info.DataCenter = "here"
 	opts := testOptions(1)
 	opts.From = "here"
-	opts.Links = Links{Default: 25 * time.Millisecond}
+	opts.Links = LinkDelays{DefaultDelay: 25 * time.Millisecond}
 	chain, err := NewPlan(testSpec(4), []*pktarget.Target{far, near}).Choose(opts)
 	assert.NilError(t, err)
 	assert.Equal(t, chain.Stages[0], near)
--- a/pkroute/links.go
+++ b/pkroute/links.go
@@ -6,12 +6,12 @@
 	"peridotknot.example/pkid"
 )
 
-// Links holds the one-way delays between data centres; with the zero value every link takes no
+// LinkDelays holds the one-way delays between data centres; with the zero value every link takes no
 // time.
-type Links struct {
-	// Default is the delay between different data centres that are not listed.
-	Default time.Duration
-	Delays  map[Link]time.Duration
+type LinkDelays struct {
+	// DefaultDelay is the delay between different data centres that are not listed.
+	DefaultDelay time.Duration
+	Delays       map[Link]time.Duration
 }
 
 // Link is a directed pair of data centres.
@@ -21,12 +21,12 @@
 }
 
 // Delay returns the one-way delay from one data centre to another.
-func (l Links) Delay(from, to pkid.DataCenter) time.Duration {
+func (l LinkDelays) Delay(from, to pkid.DataCenter) time.Duration {
 	if t, found := l.Delays[Link{From: from, To: to}]; found {
 		return t
 	}
 	if from == to {
 		return 0
 	}
-	return l.Default
+	return l.DefaultDelay
 }
--- a/pkroute/service.go
+++ b/pkroute/service.go
@@ -9,8 +9,8 @@
 // ErrNoTarget says that a pool has no usable target.
 var ErrNoTarget = errors.New("the pool has no usable target")
 
-// ChooseTarget returns the less loaded of two random usable targets, or ErrNoTarget.
-func ChooseTarget(targets []*pktarget.Target, opts ChooseOptions) (*pktarget.Target, error) {
+// ChooseServiceTarget returns the less loaded of two random usable targets, or ErrNoTarget.
+func ChooseServiceTarget(targets []*pktarget.Target, opts ChooseOptions) (*pktarget.Target, error) {
 	if len(targets) == 0 {
 		return nil, ErrNoTarget
 	}
--- a/pkstall/stall.go
+++ b/pkstall/stall.go
@@ -76,9 +76,9 @@
 	// Answered returns when an engine last gave a sign of life, zero if never; nil means never for
 	// all engines.
 	Answered func(pkid.TargetID) time.Time
-	// TieBreak orders engines with equally many silent streams. Entries that choose it at random probe
+	// Seed orders engines with equally many silent streams. Entries that choose it at random probe
 	// different engines first and share what they find.
-	TieBreak uint64
+	Seed uint64
 }
 
 // candidate is an engine that silent streams may be waiting for.
@@ -101,7 +101,7 @@
 	var sorted []*candidate
 	for _, c := range candidates {
 		if c.silent >= minSilentStreams {
-			c.rank = tieBreak(e.TieBreak, c.id)
+			c.rank = tieBreak(e.Seed, c.id)
 			sorted = append(sorted, c)
 		}
 	}
--- a/pkstall/stall_test.go
+++ b/pkstall/stall_test.go
@@ -54,7 +54,7 @@
 	streams := []Stream{testStream(130*time.Millisecond, manyEngines...), testStream(130*time.Millisecond, manyEngines...)}
 	for seed := range uint64(50) {
 		answered := map[pkid.TargetID]time.Time{}
-		e := Evidence{TieBreak: seed, Answered: func(id pkid.TargetID) time.Time { return answered[id] }}
+		e := Evidence{Seed: seed, Answered: func(id pkid.TargetID) time.Time { return answered[id] }}
 		for round := range 2 {
 			probed := ProbeTargets(now, streams, e)
 			assert.Equal(t, len(probed), []int{maxProbes, len(manyEngines) - maxProbes}[round])
