--- a/pkquarantine/case.go
+++ b/pkquarantine/case.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// CrashLimit is the number of replicas that must have ended under a request before it is
-	// quarantined. Two crashes are not enough: one attempt of a caller may meet as many for other
-	// reasons, as do all requests that run beside a poison request.
+	// CrashLimit is the number of replicas that must have crashed while running a request before it
+	// is quarantined. Two crashes are not enough: one attempt of a caller may meet as many for
+	// other reasons, as do all requests that run beside a poison request.
 	CrashLimit = 3
 	// Period is how long a request is quarantined after its last crash. It bounds what a caller
-	// loses by a false positive, and limits a poison request that is sent forever to one replica
-	// per period, since the first crash after the period quarantines it again.
+	// loses by a false positive. A poison request that is retried forever crashes at most one
+	// replica per period, since the first crash after the period quarantines it again.
 	Period = 10 * time.Minute
 	// retention is how long a case is kept after its last crash.
 	retention = 2 * Period
@@ -35,17 +35,17 @@
 	return max(StartID(h.Sum64()), 1)
 }
 
-// Crash is the end of a replica that ran a request.
+// Crash is the crash of a replica that was running a request.
 type Crash struct {
 	Start StartID `cbor:"1,keyasint" json:"start"`
-	// AgoMS is how many milliseconds ago it ended. Entries exchange ages instead of times because
-	// their clocks differ.
+	// AgoMS is how many milliseconds ago the replica crashed. Entries exchange ages instead of
+	// times because their clocks differ.
 	AgoMS int64 `cbor:"2,keyasint" json:"ago_ms"`
 	// Cleared is set if the request has run successfully since, so that the crash no longer counts.
 	Cleared bool `cbor:"3,keyasint,omitempty" json:"cleared,omitempty"`
 }
 
-// Case is the record of a request under which replicas have ended, as exchanged between entries.
+// Case is the record of a request that crashed replicas, as exchanged between entries.
 type Case struct {
 	Digest  Digest  `cbor:"1,keyasint" json:"digest"`
 	Crashes []Crash `cbor:"2,keyasint" json:"crashes"`
--- a/pkquarantine/digest.go
+++ b/pkquarantine/digest.go
@@ -26,7 +26,7 @@
 }
 
 // Digest returns the digest of the identity. The hash is cryptographic so that a caller cannot
-// forge the digest of another's request and have that one quarantined.
+// forge the digest of another's request and get that request quarantined.
 func (i Identity) Digest() Digest {
 	h := sha256.New()
 	for _, field := range []string{string(i.Account), i.Method, i.Host, i.URI} {
--- a/pkquarantine/doc.go
+++ b/pkquarantine/doc.go
@@ -2,9 +2,9 @@
 // runs them, and keeps them from further replicas.
 //
 // A request is identified by a digest, so that it is recognized when it is sent again under another
-// id or to another entry. A Table holds a case for each digest under which replicas have ended: the
-// starts of these replicas, and when they ended. Entries exchange their cases, which merge to the
-// same result in any order. Once enough replicas have ended, the request is quarantined for some
+// id or to another entry. A Table holds a case for each request that crashed replicas: the starts
+// of these replicas, and when they crashed. Entries exchange their cases, which merge to the same
+// result in any order. Once enough replicas have crashed, the request is quarantined for some
 // minutes; every further crash restarts that period.
 //
 // Requests that ran beside a poison request on a crashed replica become suspects as well. A request
--- a/pkquarantine/table.go
+++ b/pkquarantine/table.go
@@ -19,10 +19,10 @@
 	// data centre.
 	maxChanges = 6
 	// gossipPeriod is how long a changed case is sent: longer than three messages between hubs
-	// take. It bounds the control traffic after the loss of a data centre.
+	// take.
 	gossipPeriod = 2 * time.Second
-	// gossipCount is the number of messages in which a changed case is sent. With hubs, only every
-	// second message is sent on, to two hubs, and one of those may be lost.
+	// gossipCount is the number of messages in which a changed case is sent. Hubs forward only
+	// every second message, to two hubs, and one of those may be lost.
 	gossipCount = 4
 )
 
@@ -32,8 +32,8 @@
 	cases map[Digest]*record
 }
 
-// Checksum is a checksum of the quarantined requests, used by entries to detect that their sets differ;
-// zero means none.
+// Checksum is a checksum of the quarantined requests, used by entries to detect that their sets
+// differ; zero means none.
 type Checksum uint64
 
 // CrashResult is the result of recording a crash.
@@ -46,7 +46,7 @@
 	Quarantined bool
 }
 
-// RecordCrash records that a replica ended under a request at now.
+// RecordCrash records that a replica crashed while running a request at now.
 func (t *Table) RecordCrash(now time.Time, d Digest, s StartID) CrashResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -65,7 +65,8 @@
 	return t.cases[d] != nil
 }
 
-// RecordSuccess records that a request ran successfully at now and reports whether that cleared a case.
+// RecordSuccess records that a request ran successfully at now and reports whether that cleared a
+// case.
 func (t *Table) RecordSuccess(now time.Time, d Digest) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -84,7 +85,8 @@
 	return true
 }
 
-// MergeCases merges the cases of another entry and returns the requests that this newly quarantined.
+// MergeCases merges the cases of another entry and returns the requests that this newly
+// quarantined.
 func (t *Table) MergeCases(now time.Time, cases []Case) []Digest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -228,9 +230,9 @@
 	return len(t.quarantined(now)), len(t.cases)
 }
 
-// RecentChanges returns recently changed cases for one message, least often sent first, then those with the
-// most crashes, then the latest to change. Ordering by the send count first ensures that every case
-// is sent; otherwise the same cases would fill each message.
+// RecentChanges returns recently changed cases for one message, least often sent first, then those
+// with the most crashes, then the latest to change. Ordering by the send count first ensures that
+// every case is sent; otherwise the same cases would fill each message.
 func (t *Table) RecentChanges(now time.Time) []Case {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkquarantine/table_test.go
+++ b/pkquarantine/table_test.go
@@ -15,7 +15,7 @@
 
 func startN(n int) StartID { return StartIDOf(pkid.TargetID(fmt.Sprintf("i-%d", n)), 0) }
 
-// crashN records the end of n different replicas under a request at once.
+// crashN records the crashes of n different replicas that ran a request at once.
 func (t *Table) crashN(now time.Time, d Digest, n int) {
 	for i := range n {
 		t.RecordCrash(now, d, startN(i))
@@ -237,7 +237,7 @@
 	}
 }
 
-func BenchmarkNewsOfFullTable(b *testing.B) {
+func BenchmarkRecentChangesOfFullTable(b *testing.B) {
 	var table Table
 	for i := range maxCases {
 		table.RecordCrash(epoch, Digest(1+i), startN(i))
@@ -249,14 +249,14 @@
 }
 
 func BenchmarkDigest(b *testing.B) {
-	one := Identity{Account: "account", Method: "POST", Host: "host.example", URI: "/path/1", Body: make([]byte, 800)}
+	identity := Identity{Account: "account", Method: "POST", Host: "host.example", URI: "/path/1", Body: make([]byte, 800)}
 	for b.Loop() {
-		one.Digest()
+		identity.Digest()
 	}
 }
 
-// Cases from peers or the store may be malformed.
-func FuzzLearn(f *testing.F) {
+// Guards against malformed cases from peers that quarantine a request for longer than Period.
+func FuzzMergeCases(f *testing.F) {
 	f.Add(uint64(7), uint64(1), int64(0), false, uint8(3))
 	f.Add(uint64(0), uint64(0), int64(-1), true, uint8(200))
 	f.Add(uint64(9), uint64(1<<63), int64(1<<62), false, uint8(9))
--- a/pkreplica/deletion.go
+++ b/pkreplica/deletion.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// deletionGrace is how long after the store's return a record that was deleted during the outage
-// still counts as present. Live replicas write their records again within two seconds.
+// deletionGrace is how long after the store is available again a record that was deleted during the
+// outage still counts as present. Live replicas write their records again within two seconds.
 const deletionGrace = 2200 * time.Millisecond
 
 // applyDeletion applies a deleted or unusable record to its target, which is nil if unknown, and
@@ -18,7 +18,7 @@
 	return !old.Deleted || old.Unusable != rec.Unusable
 }
 
-// markLeaving records when the target was first seen to drain.
+// markLeaving records when the target was first seen leaving.
 func (t *Target) markLeaving(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -57,10 +57,9 @@
 	}
 }
 
-// MarkStoreAvailable records at now that the list is followed again. followed reports whether any peer
-// followed the list without a gap since the given time. If one did, only this entry had lost the
-// store, so records missing from its list count as deleted at once; granting them the grace period
-// of an outage would keep sending requests to removed replicas.
+// MarkStoreAvailable records at now that the list is followed again. followed reports whether any
+// peer followed the list without a gap since the given time. If one did, the outage was local to
+// this entry, and records missing from its list count as deleted at once.
 func (r *Roster) MarkStoreAvailable(now time.Time, followed func(since time.Time) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -69,27 +68,28 @@
 	}
 	r.unavailable = false
 	if !followed(r.lostAt) {
-		r.returnedAt = now
+		r.recoveredAt = now
 	}
 }
 
-// MarkPeerStoreAvailable records that the store returned to a peer at the given time. It only matters if
-// this entry has lost the store as well: the peer then reports records deleted during the outage
-// first, and they get the grace period. Otherwise only the peer had lost the store, and deleted
-// records count at once.
+// MarkPeerStoreAvailable records that a peer could reach the store again at the given time. It only
+// matters if this entry has lost the store as well: the peer then reports records deleted during
+// the outage first, and they get the grace period. Otherwise only the peer had lost the store, and
+// deleted records count at once.
 func (r *Roster) MarkPeerStoreAvailable(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.unavailable && at.After(r.returnedAt) {
-		r.returnedAt = at
+	if r.unavailable && at.After(r.recoveredAt) {
+		r.recoveredAt = at
 	}
 }
 
-// StoreRecoveredAt returns when the store last returned; zero if it was never unavailable.
+// StoreRecoveredAt returns when the store was last available again; zero if it was never
+// unavailable.
 func (r *Roster) StoreRecoveredAt() time.Time {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return r.returnedAt
+	return r.recoveredAt
 }
 
 // StoreUnavailable reports whether the list cannot be followed at present.
@@ -104,24 +104,24 @@
 func (r *Roster) removed(now time.Time, t *Target) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.displaced || (!t.deletedAt.IsZero() && !now.Before(t.removedFrom(r.returnedAt)))
+	return t.displaced || (!t.deletedAt.IsZero() && !now.Before(t.removedFrom(r.recoveredAt)))
 }
 
 // removedFrom returns when a target without a record starts to count as removed, given when the
-// store last returned.
-func (t *Target) removedFrom(returnedAt time.Time) time.Time {
-	graceEnd := returnedAt.Add(deletionGrace)
-	if t.recordInvalid || returnedAt.IsZero() || t.deletedAt.Before(returnedAt) || t.deletedAt.After(graceEnd) {
+// store was last available again.
+func (t *Target) removedFrom(recoveredAt time.Time) time.Time {
+	graceEnd := recoveredAt.Add(deletionGrace)
+	if t.recordInvalid || recoveredAt.IsZero() || t.deletedAt.Before(recoveredAt) || t.deletedAt.After(graceEnd) {
 		return t.deletedAt
 	}
 	return graceEnd
 }
 
-// LeavingFor returns how long a target has been known at now to be draining or removed; zero if it
+// LeavingFor returns how long a target has been known at now to be leaving or removed; zero if it
 // is neither.
 func (r *Roster) LeavingFor(now time.Time, t *Target) time.Duration {
 	r.mu.RLock()
-	returnedAt := r.returnedAt
+	recoveredAt := r.recoveredAt
 	r.mu.RUnlock()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -129,7 +129,7 @@
 	case !t.leavingAt.IsZero():
 		return now.Sub(t.leavingAt)
 	case !t.deletedAt.IsZero():
-		return max(now.Sub(t.removedFrom(returnedAt)), 0)
+		return max(now.Sub(t.removedFrom(recoveredAt)), 0)
 	default:
 		return 0
 	}
--- a/pkreplica/doc.go
+++ b/pkreplica/doc.go
@@ -7,5 +7,7 @@
 //
 // A Roster follows the list by revision and never replaces a newer record by an older one,
 // whichever way it arrives. A Target adds the observed state: requests in flight, the memory they
-// hold, failures. Selection depends on both and on the current time.
+// hold, failures. Selection depends on both and on the current time. A new era of the store begins
+// when it is restored from an older copy; records of the copy that are older than the known ones
+// are ignored. Package pkreplica is used by pkedge; pktarget is its counterpart in pkentry.
 package pkreplica
--- a/pkreplica/era_test.go
+++ b/pkreplica/era_test.go
@@ -24,7 +24,7 @@
 	return rec
 }
 
-// The store is restored from a copy in which a draining replica is still ready, one that has since
+// The store is restored from a copy in which a leaving replica is still ready, one that has since
 // loaded layers is empty, and a deleted one exists. Guards against applying these older records.
 func TestRestoredStoreCopyRevertsNoRecord(t *testing.T) {
 	now := time.Unix(1000, 0)
@@ -170,19 +170,20 @@
 	}
 }
 
-// check asserts that no draining or ended replica is used and that every live one is.
+// check asserts that no leaving or ended replica is used and that every live one is. settled is set
+// once all replicas have written their records again.
 func (m *eraModel) check(t *testing.T, r *Roster, now time.Time, seed uint64, settled bool) {
 	t.Helper()
 	used := map[pkid.TargetID]bool{}
 	for _, target := range r.Live(now, "s") {
 		used[target.ID] = true
-		truth, lives := m.live[target.ID]
-		assert.Assert(t, !truth.Info.Leaving, "seed %d: %s is draining but used", seed, target.ID)
-		assert.Assert(t, lives || !settled, "seed %d: %s has ended but is used", seed, target.ID)
-		assert.Assert(t, !settled || target.Held == truth.Info.Held, "seed %d: %s holds layers %v, roster has %v", seed, target.ID, truth.Info.Held, target.Held)
+		actual, live := m.live[target.ID]
+		assert.Assert(t, !actual.Info.Leaving, "seed %d: %s is leaving but used", seed, target.ID)
+		assert.Assert(t, live || !settled, "seed %d: %s has ended but is used", seed, target.ID)
+		assert.Assert(t, !settled || target.Held == actual.Info.Held, "seed %d: %s holds layers %v, roster has %v", seed, target.ID, actual.Info.Held, target.Held)
 	}
-	for id, truth := range m.live {
-		assert.Assert(t, used[id] || truth.Info.Leaving, "seed %d: %s is live but not used", seed, id)
+	for id, actual := range m.live {
+		assert.Assert(t, used[id] || actual.Info.Leaving, "seed %d: %s is live but not used", seed, id)
 	}
 }
 
@@ -190,7 +191,7 @@
 var schedules = flag.Uint64("schedules", 300, "number of random schedules of a list followed across eras")
 
 // Follows a list over several restores of the store, with late changes of previous eras. Guards
-// against using a replica known to drain, leaving out a live one, and, once all replicas have
+// against using a replica known to be leaving, omitting a live one, and, once all replicas have
 // written their records again, any state that differs from theirs.
 func TestRosterFollowsListAcrossEras(t *testing.T) {
 	for seed := range *schedules {
@@ -220,7 +221,7 @@
 				r.Apply(now, []Record{m.write(rec)}, pkstore.NewRevision(m.era, m.number))
 			}
 			for _, id := range slices.Sorted(maps.Keys(m.items)) {
-				if _, lives := m.live[id]; !lives {
+				if _, live := m.live[id]; !live {
 					r.Apply(now, []Record{m.write(Record{Info: Info{ID: id}, Deleted: true})}, pkstore.NewRevision(m.era, m.number))
 				}
 			}
--- a/pkreplica/roster.go
+++ b/pkreplica/roster.go
@@ -40,9 +40,9 @@
 	// ended holds the addresses of processes that are known to have ended.
 	ended    []string
 	revision pkstore.Revision
-	// era is the newest known era of the store.
-	era        pkstore.Era
-	returnedAt time.Time
+	// era is the newest known pkstore.Era, which counts the restores of the store from a copy.
+	era         pkstore.Era
+	recoveredAt time.Time
 	// unavailable is set while the list cannot be followed, since lostAt.
 	unavailable bool
 	lostAt      time.Time
@@ -68,8 +68,8 @@
 	return changed
 }
 
-// ApplyDelta applies the records of a peer's list between two revisions and returns those that changed
-// something. The list counts as known up to at only if it was known up to after.
+// ApplyDelta applies the records of a peer's list between two revisions and returns those that
+// changed something. The list counts as known up to at only if it was known up to after.
 func (r *Roster) ApplyDelta(now time.Time, records []Record, after, at pkstore.Revision) []Record {
 	if r.At() < after {
 		at = 0
@@ -100,13 +100,13 @@
 		return
 	}
 	if r.era != 0 || len(r.records) > 0 {
-		r.returnedAt = now
+		r.recoveredAt = now
 	}
 	r.era = e
 }
 
 // isOlderCopyOf reports whether a record of a later era is older than the known record: the store
-// was restored from a copy that holds an earlier state of it. Applying it would make a draining
+// was restored from a copy that holds an earlier state of it. Applying it would make a leaving
 // replica take requests again, bring back a deleted one, or reset the layers an engine holds. A
 // record that the replica wrote after the restore has a higher heartbeat count.
 func (rec Record) isOlderCopyOf(known Record) bool {
--- a/pkreplica/roster_test.go
+++ b/pkreplica/roster_test.go
@@ -99,7 +99,7 @@
 			}
 		}
 		if got := liveCount(&r, start.Add(time.Hour)); got != want {
-			t.Fatalf("%d live, %d expected", got, want)
+			t.Fatalf("live targets: got %d, want %d", got, want)
 		}
 	})
 }
--- a/pkreplica/start.go
+++ b/pkreplica/start.go
@@ -15,7 +15,7 @@
 	inFirstList bool
 }
 
-// isLaterStart reports whether a is known to be the birth of a later start than b.
+// isLaterStart reports whether start time a is known to be later than b.
 func isLaterStart(a, b pkid.StartTime) bool { return b != 0 && a > b }
 
 // recordOrigin records the origin of an id that was not known before.
@@ -30,8 +30,8 @@
 	}
 }
 
-// Restarted takes a birth reported by the replica itself and reports whether it is of a later start
-// than the known one. If so, the observations of the previous start are discarded, and the replica
+// Restarted takes a start time reported by the replica itself and reports whether it is later than
+// the known one. If so, the observations of the previous start are discarded, and the replica
 // counts as holding no layers until its record lists some.
 func (r *Roster) Restarted(id pkid.TargetID, born pkid.StartTime) bool {
 	r.mu.Lock()
@@ -47,9 +47,9 @@
 	return true
 }
 
-// restart replaces a target by one for a new start. Requests in flight, memory, failures and
-// draining belong to the previous start: carried over, they would make an empty engine look loaded
-// or keep it from use.
+// restart replaces a target by one for a new start. Requests in flight, memory, failures and the
+// leaving state belong to the previous start: carried over, they would make an empty engine look
+// loaded or keep it from use.
 func (r *Roster) restart(t *Target, info Info) {
 	t.markEnded()
 	r.ended = append(r.ended, t.Addr)
@@ -102,9 +102,9 @@
 	return is && !before
 }
 
-// startedAfter reports whether a started after b, both listed at the same address. Without births,
-// the id that was learned later started later, since late writes of an old process name a known id.
-// If both were in the first list, the one with fewer heartbeats started later.
+// startedAfter reports whether a started after b, both listed at the same address. Without start
+// times, the id that was learned later started later, since late writes of an old process name a
+// known id. If both were in the first list, the replica with fewer heartbeats started later.
 func (r *Roster) startedAfter(a, b *Target) bool {
 	if a.Born != 0 && b.Born != 0 && a.Born != b.Born {
 		return a.Born > b.Born
--- a/pkreplica/start_test.go
+++ b/pkreplica/start_test.go
@@ -10,7 +10,7 @@
 	"peridotknot.example/pkstore"
 )
 
-func bornAt(rev pkstore.Revision, id pkid.TargetID, born pkid.StartTime) Record {
+func recordWithStart(rev pkstore.Revision, id pkid.TargetID, born pkid.StartTime) Record {
 	rec := record(rev, id)
 	rec.Info.Born = born
 	return rec
@@ -23,11 +23,11 @@
 	return rec
 }
 
-// An engine restarts under its id. Guards against keeping the failures, memory and draining state
-// of the previous start, which would keep requests away from the new one.
+// An engine restarts under its id. Guards against keeping the failures, memory and leaving state of
+// the previous start, which would keep requests away from the new one.
 func TestRestartDiscardsState(t *testing.T) {
 	var r Roster
-	old := bornAt(1, "a", 100)
+	old := recordWithStart(1, "a", 100)
 	old.Info.Leaving = true
 	r.Apply(start, []Record{old}, 1)
 	before, _ := r.Target("a")
@@ -35,7 +35,7 @@
 	before.MarkGone(start.Add(time.Hour))
 	assert.Equal(t, liveCount(&r, start), 0)
 
-	r.Apply(start, []Record{bornAt(2, "a", 200)}, 2)
+	r.Apply(start, []Record{recordWithStart(2, "a", 200)}, 2)
 	now, _ := r.Target("a")
 	assert.Equal(t, liveCount(&r, start), 1)
 	assert.Assert(t, before.IsGone(start.Add(2*time.Hour)), "the previous process has ended")
@@ -49,37 +49,38 @@
 }
 
 // A late write of the old process arrives after the new one has registered. Guards against sending
-// requests for layers that the engine no longer holds. A record without a birth is ordered by its
-// revision alone.
+// requests for layers that the engine no longer holds. A record without a start time is ordered by
+// its revision alone.
 func TestOlderStartNeverReplacesNewer(t *testing.T) {
 	var r Roster
-	r.Apply(start, []Record{bornAt(1, "a", 200)}, 1)
-	late := bornAt(5, "a", 100)
+	r.Apply(start, []Record{recordWithStart(1, "a", 200)}, 1)
+	late := recordWithStart(5, "a", 100)
 	late.Info.Held = pkid.Range{End: 9}
 	assert.Equal(t, len(r.Apply(start, []Record{late}, 5)), 0)
 	got, _ := r.Target("a")
 	assert.Equal(t, got.Born, pkid.StartTime(200))
 	assert.Equal(t, got.Held, pkid.Range{})
 
-	unsaid := record(6, "a")
-	unsaid.Info.Held = pkid.Range{End: 5}
-	r.Apply(start, []Record{unsaid}, 6)
+	withoutStart := record(6, "a")
+	withoutStart.Info.Held = pkid.Range{End: 5}
+	r.Apply(start, []Record{withoutStart}, 6)
 	got, _ = r.Target("a")
 	assert.Equal(t, got.Held, pkid.Range{End: 5})
-	assert.Equal(t, got.Born, pkid.StartTime(200), "a known birth is kept")
+	assert.Equal(t, got.Born, pkid.StartTime(200), "a known start time is kept")
 
 	r.Apply(start, []Record{deletedRecord(7, "a")}, 7)
 	assert.Equal(t, liveCount(&r, start), 0)
-	r.Apply(start, []Record{bornAt(8, "a", 100)}, 8)
+	r.Apply(start, []Record{recordWithStart(8, "a", 100)}, 8)
 	assert.Equal(t, liveCount(&r, start), 0, "a late write does not restore a deleted replica")
-	r.Apply(start, []Record{bornAt(9, "a", 200)}, 9)
+	r.Apply(start, []Record{recordWithStart(9, "a", 200)}, 9)
 	assert.Equal(t, liveCount(&r, start), 1)
 }
 
-// An engine cut off from the store reports a later birth than the list has.
+// An engine cut off from the store reports a later start time than the list has. Guards against
+// using the layers of its previous start until the list shows the restart.
 func TestStartReportedByReplica(t *testing.T) {
 	var r Roster
-	rec := bornAt(1, "a", 100)
+	rec := recordWithStart(1, "a", 100)
 	rec.Info.Held = pkid.Range{End: 9}
 	r.Apply(start, []Record{rec}, 1)
 	assert.Assert(t, !r.Restarted("a", 100) && !r.Restarted("a", 50) && !r.Restarted("a", 0) && !r.Restarted("b", 300))
@@ -132,7 +133,7 @@
 	}
 }
 
-func TestLaterBirthWinsAddress(t *testing.T) {
+func TestLaterStartKeepsAddress(t *testing.T) {
 	var r Roster
 	late, now := recordAtAddr(2, "old", "x", 1), recordAtAddr(1, "new", "x", 900)
 	late.Info.Born, now.Info.Born = 100, 200
--- a/pkreplica/target.go
+++ b/pkreplica/target.go
@@ -32,8 +32,8 @@
 	// layers.
 	inFlight int
 	tokens   float64
-	// others is the load of the other entries as they last reported it.
-	others Load
+	// peerLoad is the load of the other entries as they last reported it.
+	peerLoad Load
 	// reported is the number of requests beyond this entry's own that the target last reported.
 	reported   float64
 	reportedAt time.Time
@@ -104,13 +104,14 @@
 	return max(t.prefillUntil.Sub(now), 0) * time.Duration(entries)
 }
 
-// ExpectedMemory estimates the memory that requests of all entries will hold, in tokens times layers. It
-// assumes that each other entry has begun as much as this one since their last exchange: when an
-// engine fails, all entries fail over at the same moment and could overload a single target.
+// ExpectedMemory estimates the memory that requests of all entries will hold, in tokens times
+// layers. It assumes that each other entry has begun as much as this one since their last exchange:
+// when an engine fails, all entries fail over at the same moment and could overload a single
+// target.
 func (t *Target) ExpectedMemory(now time.Time, entries int) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.tokens + t.others.Tokens + t.decayedRecent(now)*float64(entries-1)
+	return t.tokens + t.peerLoad.Tokens + t.decayedRecent(now)*float64(entries-1)
 }
 
 // Done ends a request counted by Begin.
@@ -132,7 +133,7 @@
 func (t *Target) SetPeerLoad(l Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.others = l
+	t.peerLoad = l
 }
 
 // RecordReport records the number of requests that the target itself reported at now.
@@ -185,8 +186,8 @@
 	}
 }
 
-// MarkStaleRecord avoids the target until a time, or until its record lists other layers, because it does
-// not hold the layers that its record lists.
+// MarkStaleRecord avoids the target until a time, or until its record lists other layers, because
+// it does not hold the layers that its record lists.
 func (t *Target) MarkStaleRecord(until time.Time) {
 	t.Avoid(until)
 	t.mu.Lock()
@@ -194,7 +195,8 @@
 	t.staleLayers = true
 }
 
-// AllowProbe reports whether the target may be probed for liveness at now, at most once per pause.
+// AllowProbe reports whether the target may be probed for liveness at now, at most once per
+// interval.
 func (t *Target) AllowProbe(now time.Time, interval time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -205,12 +207,12 @@
 	return true
 }
 
-// ProbeAnswered records that the target answered a probe sent at asked.
-func (t *Target) ProbeAnswered(asked time.Time) {
+// ProbeAnswered records that the target answered a probe sent at sentAt.
+func (t *Target) ProbeAnswered(sentAt time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if asked.After(t.answeredProbeAt) {
-		t.answeredProbeAt = asked
+	if sentAt.After(t.answeredProbeAt) {
+		t.answeredProbeAt = sentAt
 	}
 }
 
--- a/pkshare/delta.go
+++ b/pkshare/delta.go
@@ -11,7 +11,7 @@
 // Threshold returns the change in a target's load above which it is sent, in tokens times layers.
 type Threshold func(pkid.TargetID) float64
 
-// sentLoads are the loads last sent to the receivers of one role; the zero value is none.
+// sentLoads are the loads last sent to the receivers of one role; the zero value is empty.
 //
 // A hub sends to a hundred entries several times a second, so small changes are not sent. The loads
 // are kept exactly as the receivers have them, and can be sent in full to one that missed an
@@ -89,8 +89,8 @@
 	Full  Sum
 }
 
-// NextUpdate returns the next update of a sum for the receivers of a role. Loads that changed by more
-// than the threshold count as sent.
+// NextUpdate returns the next update of a sum for the receivers of a role. Loads that changed by
+// more than the threshold count as sent.
 func (t *Table) NextUpdate(role Role, s Sum, threshold Threshold) SumUpdate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkshare/hub.go
+++ b/pkshare/hub.go
@@ -16,9 +16,9 @@
 	// updates.
 	hubsPerDataCenter = 2
 	// hubGrace is how long a hub may take to send its first message before another replaces it. It
-	// must first learn its role, connect, and receive from its entries.
+	// must first determine its role, connect, and receive from its entries.
 	hubGrace = 3 * time.Second
-	// hubExclusion is how long a hub that was not heard from is excluded.
+	// hubExclusion is how long a hub that sent no message is excluded.
 	hubExclusion = 10 * time.Second
 )
 
@@ -49,8 +49,8 @@
 // UsesHubs reports whether entries use hubs where there are that many others.
 func UsesHubs(others int) bool { return others >= hubThreshold }
 
-// IsDesignated reports whether this entry is one of the designated entries of its data centre at now.
-// They are its hubs where there are hubs.
+// IsDesignated reports whether this entry is one of the designated entries of its data centre at
+// now. They are its hubs where there are hubs.
 func (t *Table) IsDesignated(now time.Time, self Member, others []Member) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -88,9 +88,9 @@
 	return out
 }
 
-// hubs returns the hubs of a data centre as this entry sees them: those with the largest processor
-// share, then the lowest ID, without silent ones. Each entry excludes a silent hub on its own, and
-// so does the one that replaces it.
+// hubs returns the hubs of a data centre by this entry's own observation: those with the largest
+// processor share, then the lowest ID, without silent ones. Each entry excludes a silent hub
+// independently, including the entry that becomes hub in its place.
 func (t *Table) hubs(now time.Time, self Member, all []Member, dc pkid.DataCenter) []pkid.EntryID {
 	local := slices.DeleteFunc(slices.Clone(all), func(m Member) bool { return m.DataCenter != dc })
 	slices.SortFunc(local, func(a, b Member) int {
@@ -108,9 +108,9 @@
 	return out
 }
 
-// isSilent reports whether an entry that is expected to be a hub has not been heard from.
+// isSilent reports whether an entry that is expected to be a hub has sent no recent message.
 func (t *Table) isSilent(now time.Time, id pkid.EntryID) bool {
-	if p := t.peers[id]; p != nil && now.Sub(p.heardAt) < staleAfter {
+	if p := t.peers[id]; p != nil && now.Sub(p.lastReceivedAt) < staleAfter {
 		delete(t.expectedSince, id)
 		return false
 	}
@@ -127,14 +127,14 @@
 
 // Sum is the total load of several entries.
 type Sum struct {
-	// Global says that the sum covers all entries; otherwise it covers those of the sender's data
+	// Global is set if the sum covers all entries; otherwise it covers those of the sender's data
 	// centre.
 	Global bool `cbor:"1,keyasint"`
 	// Entries is the number of entries in the sum.
 	Entries int    `cbor:"2,keyasint"`
 	Loads   []Load `cbor:"3,keyasint,omitempty"`
 	Flows   []Flow `cbor:"4,keyasint,omitempty"`
-	// Partial says that the loads sent before remain, except for those in Changed, where zero
+	// Partial is set if the loads sent before remain, except for those in Changed, where zero
 	// tokens remove one. Earlier builds skip both fields and see no loads until the next full sum.
 	Partial bool   `cbor:"5,keyasint,omitempty"`
 	Changed []Load `cbor:"6,keyasint,omitempty"`
@@ -148,7 +148,7 @@
 	a := newAccumulator()
 	a.add(1, own.Loads, own.Flows)
 	for _, p := range t.peers {
-		if now.Sub(p.heardAt) < staleAfter && p.sum == nil && p.dataCenter == own.DataCenter {
+		if now.Sub(p.lastReceivedAt) < staleAfter && p.sum == nil && p.dataCenter == own.DataCenter {
 			a.add(1, p.loads, p.flows)
 		}
 	}
@@ -162,7 +162,7 @@
 // forEachDirect calls do for each live peer that sends its own loads and is in no sum.
 func (t *Table) forEachDirect(now time.Time, sums map[pkid.DataCenter]*peer, do func(*peer)) {
 	for _, p := range t.peers {
-		if now.Sub(p.heardAt) < staleAfter && p.sum == nil && sums[p.dataCenter] == nil {
+		if now.Sub(p.lastReceivedAt) < staleAfter && p.sum == nil && sums[p.dataCenter] == nil {
 			do(p)
 		}
 	}
@@ -172,10 +172,10 @@
 func (t *Table) remoteSums(now time.Time) map[pkid.DataCenter]*peer {
 	out := map[pkid.DataCenter]*peer{}
 	for _, p := range t.peers {
-		if p.sum == nil || p.sum.Global || now.Sub(p.heardAt) >= staleAfter {
+		if p.sum == nil || p.sum.Global || now.Sub(p.lastReceivedAt) >= staleAfter {
 			continue
 		}
-		if old := out[p.dataCenter]; old == nil || p.heardAt.After(old.heardAt) {
+		if old := out[p.dataCenter]; old == nil || p.lastReceivedAt.After(old.lastReceivedAt) {
 			out[p.dataCenter] = p
 		}
 	}
@@ -186,7 +186,7 @@
 func (t *Table) globalSum(now time.Time) *Sum {
 	var best *peer
 	for _, p := range t.peers {
-		if p.sum != nil && p.sum.Global && now.Sub(p.heardAt) < staleAfter && (best == nil || p.heardAt.After(best.heardAt)) {
+		if p.sum != nil && p.sum.Global && now.Sub(p.lastReceivedAt) < staleAfter && (best == nil || p.lastReceivedAt.After(best.lastReceivedAt)) {
 			best = p
 		}
 	}
@@ -214,20 +214,20 @@
 }
 
 // othersFlow adds up the tokens of all other entries in flight between two data centres.
-func (t *Table) othersFlow(now time.Time, pair [2]pkid.DataCenter) (tokens float64, heard int) {
+func (t *Table) othersFlow(now time.Time, pair [2]pkid.DataCenter) (tokens float64, reporting int) {
 	if global := t.globalSum(now); global != nil {
 		return max(flowOf(global.Flows, pair)-flowOf(t.lastSent.Flows, pair), 0), global.Entries - 1
 	}
 	sums := t.remoteSums(now)
 	t.forEachDirect(now, sums, func(p *peer) {
 		tokens += flowOf(p.flows, pair)
-		heard++
+		reporting++
 	})
 	for _, p := range sums {
 		tokens += flowOf(p.sum.Flows, pair)
-		heard += p.sum.Entries
+		reporting += p.sum.Entries
 	}
-	return tokens, heard
+	return tokens, reporting
 }
 
 func flowOf(flows []Flow, pair [2]pkid.DataCenter) float64 {
--- a/pkshare/hub_test.go
+++ b/pkshare/hub_test.go
@@ -83,16 +83,16 @@
 			all = append(all, message{pkid.EntryID(addr), m})
 		}
 	}
-	for _, one := range all {
-		if !f.dead[one.to] {
-			f.tables[one.to].Apply(f.now, one.m)
+	for _, msg := range all {
+		if !f.dead[msg.to] {
+			f.tables[msg.to].Apply(f.now, msg.m)
 		}
 	}
 }
 
 func (f *fleet) live() int { return len(f.members) - len(f.dead) }
 
-// check checks that each live entry knows the load of all others.
+// check asserts that each live entry has the load of all others.
 func (f *fleet) check(t *testing.T) {
 	t.Helper()
 	own := map[pkid.TargetID]pkreplica.Load{"t": {Requests: 1, Tokens: 10}}
@@ -123,7 +123,7 @@
 	}
 }
 
-// Entries without hubs would extrapolate the load of the fleet from their own and crowd on some
+// Entries without hubs would extrapolate the load of the fleet from their own and overload some
 // engines. Failed hubs must be replaced without the store.
 func TestSilentHubsAreReplaced(t *testing.T) {
 	f := newFleet(3, 10)
@@ -157,22 +157,22 @@
 	assert.Assert(t, f.sent["a-07"] > hubsPerDataCenter)
 }
 
-// Entries with hubs do not watch the replica list. A hub must send it to one that lags at once,
-// whatever others know, and again if the message was lost.
-func TestHubsSendCatchUpWhateverOthersKnow(t *testing.T) {
+// Entries with hubs do not watch the replica list. A hub must send it to a lagging entry at once,
+// whatever the others have, and again if the message was lost.
+func TestHubSendsCatchUpRegardlessOfPeers(t *testing.T) {
 	var table Table
 	for i := range 4 {
 		table.Apply(start, newMessage(pkid.EntryID(fmt.Sprint("a-", i)), 1, 9, 1))
 	}
 	table.Apply(start, newMessage("late", 1, 5, 1))
-	k := LocalState{Self: "hub", Config: 9, List: 9, Hub: true}
+	local := LocalState{Self: "hub", Config: 9, List: 9, Hub: true}
 	list := CatchUp{List: true, After: pkstore.Revision(5)}
-	assert.Equal(t, table.CatchUpFor(start, "late", k), list)
+	assert.Equal(t, table.CatchUpFor(start, "late", local), list)
 	later := start.Add(catchUpDelay)
-	assert.Equal(t, table.CatchUpFor(later, "late", k), CatchUp{Config: true})
-	assert.Equal(t, table.CatchUpFor(later, "late", k), CatchUp{})
+	assert.Equal(t, table.CatchUpFor(later, "late", local), CatchUp{Config: true})
+	assert.Equal(t, table.CatchUpFor(later, "late", local), CatchUp{})
 	table.Apply(start.Add(catchUpRetry), newMessage("late", 2, 5, 1))
-	assert.Equal(t, table.CatchUpFor(start.Add(catchUpRetry), "late", k), list)
+	assert.Equal(t, table.CatchUpFor(start.Add(catchUpRetry), "late", local), list)
 }
 
 // Entries must watch the replica list themselves if no live hub watches it for them.
--- a/pkshare/message.go
+++ b/pkshare/message.go
@@ -34,19 +34,19 @@
 	// RecordsAfter is set where the message updates the replica list: NewRecords are then all
 	// records after this revision and up to List.
 	RecordsAfter *pkstore.Revision `cbor:"15,keyasint,omitempty"`
-	// Following says that the sender watches the replica list in the store and can reach the store.
+	// Following is set if the sender watches the replica list in the store and can reach the store.
 	Following bool `cbor:"16,keyasint,omitempty"`
-	// StoreRecoveredAgoMS is how many milliseconds ago the sender could reach the store again; zero where
-	// that is not recent.
+	// StoreRecoveredAgoMS is how many milliseconds ago the sender could reach the store again; zero
+	// where that is not recent.
 	StoreRecoveredAgoMS int64 `cbor:"17,keyasint,omitempty"`
-	// Members is the number of entries that a hub knows from the store; zero where it has that
-	// number from a hub itself.
+	// Members is the number of entries in the store as read by a hub; zero if the sender only
+	// received it from a hub.
 	Members int `cbor:"18,keyasint,omitempty"`
 	// Cases are quarantine cases that the sender learned recently or that the receiver appears to
 	// lack.
 	Cases []pkquarantine.Case `cbor:"19,keyasint,omitempty"`
-	// QuarantineChecksum is a checksum of the sender's quarantined requests; zero from builds without a
-	// quarantine.
+	// QuarantineChecksum is a checksum of the sender's quarantined requests; zero from builds
+	// without a quarantine.
 	QuarantineChecksum pkquarantine.Checksum `cbor:"20,keyasint,omitempty"`
 	// Version is the version of the configuration at Config. It orders configurations even where
 	// the store was restored from an older copy and holds another version at a later revision.
@@ -83,12 +83,12 @@
 type Suspect struct {
 	Target      pkid.TargetID `cbor:"1,keyasint"`
 	RemainingMS int64         `cbor:"2,keyasint"`
-	// Gone says that the target's address refused a connection, so that its process has ended.
+	// Gone is set if the target's address refused a connection, so that its process has ended.
 	Gone bool `cbor:"3,keyasint,omitempty"`
 	// Born is the start of the target that was found faulty, where it is known.
 	Born pkid.StartTime `cbor:"4,keyasint,omitempty"`
-	// Misplaced says that the target does not hold what its record in the replica list says at the
-	// revision below; a later record is trusted again.
+	// Misplaced is set if the target does not hold the layers of its record at RecordRevision; a
+	// later record is trusted again.
 	Misplaced      bool             `cbor:"5,keyasint,omitempty"`
 	RecordRevision pkstore.Revision `cbor:"6,keyasint,omitempty"`
 }
--- a/pkshare/table.go
+++ b/pkshare/table.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// Interval is the interval between messages. It is a small fraction of a request's duration, since
-	// entries with older load data would crowd on the same target.
+	// Interval is the interval between messages. It is a small fraction of a request's duration,
+	// since entries with older load data would crowd on the same target.
 	Interval = 150 * time.Millisecond
 	// HeartbeatInterval is the heartbeat interval of an entry that has nothing new to send.
 	HeartbeatInterval = time.Second
@@ -36,15 +36,15 @@
 
 // peer is the state that one other entry last reported.
 type peer struct {
-	addr     string
-	run      uint64
-	sequence uint64
-	heardAt  time.Time
-	config   pkstore.Revision
-	version  pkconfig.Version
-	list     pkstore.Revision
-	loads    []Load
-	flows    []Flow
+	addr           string
+	run            uint64
+	sequence       uint64
+	lastReceivedAt time.Time
+	config         pkstore.Revision
+	version        pkconfig.Version
+	list           pkstore.Revision
+	loads          []Load
+	flows          []Flow
 	// sum is set where the peer sent its message as a hub.
 	sum            *Sum
 	dataCenter     pkid.DataCenter
@@ -61,11 +61,11 @@
 	configSentAt     time.Time
 	listSentAt       time.Time
 	quarantineSentAt time.Time
-	// following says whether the peer watches the replica list in the store, followingSince is
-	// since when it has done so without interruption.
+	// following is set if the peer watches the replica list in the store, followingSince is since
+	// when it has done so without interruption.
 	following      bool
 	followingSince time.Time
-	// members is the number of entries that the peer knows from the store.
+	// members is the number of entries that the peer read from the store.
 	members int
 }
 
@@ -108,7 +108,7 @@
 		full.Loads = merge(full.Loads, m.Sum.Changed)
 		m.Sum = &full
 	}
-	p.addr, p.run, p.sequence, p.heardAt = m.Addr, m.Run, m.Sequence, now
+	p.addr, p.run, p.sequence, p.lastReceivedAt = m.Addr, m.Run, m.Sequence, now
 	p.config, p.version, p.list, p.loads, p.flows = m.Config, m.Version, m.List, m.Loads, m.Flows
 	if m.Following && !p.following {
 		p.followingSince = now
@@ -118,19 +118,19 @@
 	return true
 }
 
-// PeerLoads returns the load of all other entries by target; own is the load of this one. Members that
-// have not been heard from are assumed to carry the average load of the others and this one: after
-// a simultaneous restart each entry would otherwise take the pool for empty, and all would choose
+// PeerLoads returns the load of all other entries by target; own is the load of this one. Members
+// that have sent nothing are assumed to carry the average load of the others and this one: after a
+// simultaneous restart each entry would otherwise take the pool for empty, and all would overload
 // the same targets.
 func (t *Table) PeerLoads(now time.Time, members int, own map[pkid.TargetID]pkreplica.Load) map[pkid.TargetID]pkreplica.Load {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	heard := t.addOthers(now)
-	out := make(map[pkid.TargetID]pkreplica.Load, len(heard.loads))
-	for id, l := range heard.loads {
+	reported := t.addOthers(now)
+	out := make(map[pkid.TargetID]pkreplica.Load, len(reported.loads))
+	for id, l := range reported.loads {
 		out[id] = pkreplica.Load{Requests: l.Requests, Tokens: float64(l.Tokens)}
 	}
-	ratio := missingRatio(heard.entries, members)
+	ratio := missingRatio(reported.entries, members)
 	for id, load := range own {
 		sum := out[id]
 		sum.Requests += int(ratio * float64(sum.Requests+load.Requests))
@@ -146,18 +146,18 @@
 }
 
 // Flow returns the tokens of all other entries in flight between two data centres, extrapolated to
-// members that have not been heard from; own is what this entry has in flight.
+// members that have sent nothing; own is what this entry has in flight.
 func (t *Table) Flow(now time.Time, members int, a, b pkid.DataCenter, own float64) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	sum, heard := t.othersFlow(now, pairOf(a, b))
-	return sum + missingRatio(heard, members)*(sum+own)
+	sum, reporting := t.othersFlow(now, pairOf(a, b))
+	return sum + missingRatio(reporting, members)*(sum+own)
 }
 
-// missingRatio returns the number of members that have not been heard from per member that has,
-// with this entry among the latter.
-func missingRatio(heard, members int) float64 {
-	return float64(max(members-1-heard, 0)) / float64(1+heard)
+// missingRatio returns the number of members that have sent nothing per member that has, with this
+// entry among the latter.
+func missingRatio(reporting, members int) float64 {
+	return float64(max(members-1-reporting, 0)) / float64(1+reporting)
 }
 
 // LivePeers returns the number of entries whose last message is not stale.
@@ -166,7 +166,7 @@
 	defer t.mu.Unlock()
 	n := 0
 	for _, p := range t.peers {
-		if now.Sub(p.heardAt) < staleAfter {
+		if now.Sub(p.lastReceivedAt) < staleAfter {
 			n++
 		}
 	}
@@ -182,51 +182,52 @@
 	List    pkstore.Revision
 	// QuarantineChecksum is a checksum of the quarantined requests.
 	QuarantineChecksum pkquarantine.Checksum
-	// Hub says that this entry is a hub of the peer. It then sends a catch-up whatever other
-	// entries know.
+	// Hub is set if this entry is a hub of the peer. It then sends a catch-up regardless of other
+	// entries.
 	Hub bool
 }
 
-// CatchUp says what to send to a lagging peer: the configuration, the records of the replica list
+// CatchUp is what to send to a lagging peer: the configuration, the records of the replica list
 // after revision After, or the quarantined requests.
 type CatchUp struct {
 	Config bool
 	List   bool
 	After  pkstore.Revision
-	// Quarantine says that the peer's quarantined requests differ from this entry's.
+	// Quarantine is set if the peer's quarantined requests differ from this entry's.
 	Quarantine bool
 }
 
 // CatchUpFor returns what to send to a peer that has lagged behind this entry for some time, and
 // records it as sent. Only a few entries send the same state to one peer.
-func (t *Table) CatchUpFor(now time.Time, to pkid.EntryID, k LocalState) CatchUp {
+func (t *Table) CatchUpFor(now time.Time, to pkid.EntryID, local LocalState) CatchUp {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.peers[to]
-	if p == nil || now.Sub(p.heardAt) >= staleAfter {
+	if p == nil || now.Sub(p.lastReceivedAt) >= staleAfter {
 		return CatchUp{}
 	}
 	wait := catchUpDelay
-	if k.Hub {
+	if local.Hub {
 		wait = 0
 	}
 	var out CatchUp
-	if sustained(now, &p.configBehindSince, p.hasOlderConfig(k), catchUpDelay) && now.Sub(p.configSentAt) >= catchUpRetry &&
-		(k.Hub || t.sendsCatchUp(now, to, k.Self, func(p *peer) bool { return !p.hasOlderConfig(k) })) {
+	if sustained(now, &p.configBehindSince, p.hasOlderConfig(local), catchUpDelay) && now.Sub(p.configSentAt) >= catchUpRetry &&
+		(local.Hub || t.sendsCatchUp(now, to, local.Self, func(p *peer) bool { return !p.hasOlderConfig(local) })) {
 		p.configSentAt = now
 		out.Config = true
 	}
-	if sustained(now, &p.listBehindSince, p.list < k.List, wait) && now.Sub(p.listSentAt) >= catchUpRetry &&
-		(k.Hub || t.sendsCatchUp(now, to, k.Self, func(p *peer) bool { return p.list >= k.List })) {
+	if sustained(now, &p.listBehindSince, p.list < local.List, wait) && now.Sub(p.listSentAt) >= catchUpRetry &&
+		(local.Hub || t.sendsCatchUp(now, to, local.Self, func(p *peer) bool { return p.list >= local.List })) {
 		p.listSentAt = now
 		out.List, out.After = true, p.list
 	}
-	out.Quarantine = p.quarantineDiffers(now, k.QuarantineChecksum)
+	out.Quarantine = p.quarantineDiffers(now, local.QuarantineChecksum)
 	return out
 }
 
 // quarantineDiffers reports whether a peer's quarantined requests have differed from this entry's
-// for some time. A checksum of zero comes from an earlier build, which would be sent them for ever.
+// for some time. A zero checksum comes from a build without quarantine, which must not be sent the
+// cases again and again.
 func (p *peer) quarantineDiffers(now time.Time, sum pkquarantine.Checksum) bool {
 	differs := p.quarantineSum != 0 && p.quarantineSum != sum
 	if !sustained(now, &p.quarantineDiffersSince, differs, catchUpDelay) || now.Sub(p.quarantineSentAt) < catchUpRetry {
@@ -236,30 +237,32 @@
 	return true
 }
 
-// FollowedSince reports whether some live peer has watched the replica list without interruption since
-// before since, so that the store has been available to it throughout.
+// FollowedSince reports whether some live peer has watched the replica list without interruption
+// since before the given time, so that the store has been available to it throughout.
 func (t *Table) FollowedSince(now, since time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, p := range t.peers {
-		if p.following && p.followingSince.Before(since) && now.Sub(p.heardAt) < staleAfter {
+		if p.following && p.followingSince.Before(since) && now.Sub(p.lastReceivedAt) < staleAfter {
 			return true
 		}
 	}
 	return false
 }
 
-// ServedByHub reports whether a hub sends this entry the replica list and the number of members, so that it
-// need not watch them in the store: each watching entry costs the store one call per change.
+// ServedByHub reports whether a hub sends this entry the replica list and the number of members, so
+// that it need not watch them in the store: each watching entry costs the store one call per
+// change.
 func (t *Table) ServedByHub(now time.Time) bool { return t.HubMemberCount(now) > 0 }
 
-// HubMemberCount returns the number of members that hubs report; zero where no hub serves this entry.
+// HubMemberCount returns the number of members that hubs report; zero where no hub serves this
+// entry.
 func (t *Table) HubMemberCount(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	most := 0
 	for _, p := range t.peers {
-		if p.sum != nil && p.sum.Global && p.following && now.Sub(p.heardAt) < staleAfter {
+		if p.sum != nil && p.sum.Global && p.following && now.Sub(p.lastReceivedAt) < staleAfter {
 			most = max(most, p.members)
 		}
 	}
@@ -281,18 +284,19 @@
 // hasOlderConfig reports whether a peer's configuration is older than this entry's. Versions decide
 // where both are known: a store that was restored from an older copy may hold an older version at a
 // later revision until the newest one is written again.
-func (p *peer) hasOlderConfig(k LocalState) bool {
-	if p.version != 0 && k.Version != 0 && p.version != k.Version {
-		return p.version < k.Version
+func (p *peer) hasOlderConfig(local LocalState) bool {
+	if p.version != 0 && local.Version != 0 && p.version != local.Version {
+		return p.version < local.Version
 	}
-	return p.config < k.Config
+	return p.config < local.Config
 }
 
-// sendsCatchUp reports whether this entry is among the first by ID of those that can catch it up.
+// sendsCatchUp reports whether this entry is one of the catchUpSenders entries with the lowest IDs
+// that can send a peer its catch-up.
 func (t *Table) sendsCatchUp(now time.Time, to, self pkid.EntryID, canSend func(*peer) bool) bool {
 	candidates := []pkid.EntryID{self}
 	for id, p := range t.peers {
-		if id != to && now.Sub(p.heardAt) < staleAfter && canSend(p) {
+		if id != to && now.Sub(p.lastReceivedAt) < staleAfter && canSend(p) {
 			candidates = append(candidates, id)
 		}
 	}
@@ -316,7 +320,7 @@
 	defer t.mu.Unlock()
 	var out []Member
 	for id, p := range t.peers {
-		if now.Sub(p.heardAt) < staleAfter && p.addr != "" {
+		if now.Sub(p.lastReceivedAt) < staleAfter && p.addr != "" {
 			out = append(out, Member{ID: id, Addr: p.addr, DataCenter: p.dataCenter, ProcessorShare: p.processorShare})
 		}
 	}
--- a/pkshare/table_test.go
+++ b/pkshare/table_test.go
@@ -17,8 +17,8 @@
 	return Message{From: from, Addr: string(from), Run: 1, Sequence: sequence, Config: list, List: list, Loads: []Load{{Target: "t", Requests: 1, Tokens: tokens}}}
 }
 
-// After a simultaneous restart no entry has heard from another. Each must assume that the others
-// carry its own load, or all would choose the same path.
+// After a simultaneous restart no entry has received a message from another. Each must assume that
+// the others carry its own load, or all would choose the same path.
 func TestLoadsOfSilentMembersAreExtrapolated(t *testing.T) {
 	var table Table
 	own := map[pkid.TargetID]pkreplica.Load{"t": {Requests: 1, Tokens: 100}}
@@ -43,21 +43,21 @@
 	assert.Equal(t, table.PeerLoads(start, 2, nil)["t"].Tokens, 5.0)
 }
 
-// An entry that the store does not serve could accept a revoked key or use a removed replica. Two
+// An entry that cannot reach the store could accept a revoked key or use a removed replica. Two
 // others must send it the newer state, once.
 func TestLaggingEntryIsSentCatchUp(t *testing.T) {
 	var table Table
 	table.Apply(start, newMessage("z", 1, 5, 0))
 	table.Apply(start, newMessage("b", 1, 9, 0))
 	table.Apply(start, newMessage("c", 1, 9, 0))
-	known := func(self pkid.EntryID) LocalState { return LocalState{Self: self, Config: 9, List: 9} }
-	assert.Equal(t, table.CatchUpFor(start, "z", known("a")), CatchUp{}, "the store may still serve it")
+	local := func(self pkid.EntryID) LocalState { return LocalState{Self: self, Config: 9, List: 9} }
+	assert.Equal(t, table.CatchUpFor(start, "z", local("a")), CatchUp{}, "the store may still serve it")
 	later := start.Add(catchUpDelay)
-	assert.Equal(t, table.CatchUpFor(later, "z", known("a")), CatchUp{Config: true, List: true, After: 5})
-	assert.Equal(t, table.CatchUpFor(later, "z", known("a")), CatchUp{}, "already sent")
+	assert.Equal(t, table.CatchUpFor(later, "z", local("a")), CatchUp{Config: true, List: true, After: 5})
+	assert.Equal(t, table.CatchUpFor(later, "z", local("a")), CatchUp{}, "already sent")
 	table.Reconnected("z")
-	assert.Equal(t, table.CatchUpFor(later, "z", known("d")), CatchUp{}, "two others have lower IDs")
-	assert.Equal(t, table.CatchUpFor(later, "b", known("a")), CatchUp{})
+	assert.Equal(t, table.CatchUpFor(later, "z", local("d")), CatchUp{}, "two others have lower IDs")
+	assert.Equal(t, table.CatchUpFor(later, "b", local("a")), CatchUp{})
 }
 
 // Only a live peer that has watched the list since before the store was lost shows that the store
