--- a/pklease/lease_test.go
+++ b/pklease/lease_test.go
@@ -30,8 +30,8 @@
 	assert.Assert(t, !l.MayAct(start.Add(6*time.Second)))
 }
 
-// guards are the safeguards of a change of owner. The test also disables some of them.
-type guards struct {
+// safeguards are the precautions at a change of owner. The test also disables some of them.
+type safeguards struct {
 	// fenced: targets reject a lower fencing token.
 	fenced bool
 	// wait: a new owner waits before it orders, where targets do not reject.
@@ -44,25 +44,25 @@
 	fromRequest bool
 }
 
-// target is an engine that holds what the last accepted order says.
+// target is an engine that holds the layers of the last order it accepted.
 type target struct {
 	fenced bool
 	fence  pkid.FencingToken
-	holds  string
+	held   string
 }
 
-func (e *target) accept(fence pkid.FencingToken, wants string) {
-	if e.fenced && fence < e.fence {
+func (t *target) accept(fence pkid.FencingToken, layers string) {
+	if t.fenced && fence < t.fence {
 		return
 	}
-	e.fence = max(e.fence, fence)
-	e.holds = wants
+	t.fence = max(t.fence, fence)
+	t.held = layers
 }
 
 // scenario is one interleaving: owner A plans an order and is paused; its lease ends; B takes over
 // and orders; A resumes and its order arrives.
 type scenario struct {
-	guards
+	safeguards
 	engine target
 	// The durations between the events, from start on.
 	reply, pause, latency, takeover time.Duration
@@ -72,42 +72,42 @@
 
 // inFlight is an order on its way to the engine.
 type inFlight struct {
-	at    time.Time
-	fence pkid.FencingToken
-	wants string
+	at     time.Time
+	fence  pkid.FencingToken
+	layers string
 }
 
-func (w *scenario) run() string {
+func (s *scenario) run() string {
 	a := Lease{Terms: terms}
 	measuredFrom := start
-	if !w.fromRequest {
-		measuredFrom = start.Add(w.reply)
+	if !s.fromRequest {
+		measuredFrom = start.Add(s.reply)
 	}
 	a.Granted(measuredFrom, 1)
 	var orders []inFlight
-	checked := start.Add(w.reply)
+	checked := start.Add(s.reply)
 	if a.MayAct(checked) {
-		at := checked.Add(w.pause)
-		if !w.recheck || a.MayAct(at) {
-			orders = append(orders, inFlight{at: at.Add(w.stall + w.latency), fence: 1, wants: "old"})
+		at := checked.Add(s.pause)
+		if !s.recheck || a.MayAct(at) {
+			orders = append(orders, inFlight{at: at.Add(s.stall + s.latency), fence: 1, layers: "old"})
 		}
 	}
 	// The store ends A's lease no earlier than its TTL after start.
-	began := start.Add(terms.TTL + w.takeover)
+	grantedAt := start.Add(terms.TTL + s.takeover)
 	b := Lease{Terms: terms}
-	b.Granted(began, 2)
-	first := began
-	for !b.MayOrder(first, w.fenced || !w.wait) {
+	b.Granted(grantedAt, 2)
+	first := grantedAt
+	for !b.MayOrder(first, s.fenced || !s.wait) {
 		first = first.Add(100 * time.Millisecond)
 	}
-	orders = append(orders, inFlight{at: first, fence: 2, wants: "new"})
-	if w.reconcile {
+	orders = append(orders, inFlight{at: first, fence: 2, layers: "new"})
+	if s.reconcile {
 		// B reads back periodically for as long as it owns the pool.
 		for round := time.Second; round < time.Minute; round += time.Second {
-			orders = append(orders, inFlight{at: first.Add(round), fence: 2, wants: "new"})
+			orders = append(orders, inFlight{at: first.Add(round), fence: 2, layers: "new"})
 		}
 	}
-	w.engine.fenced = w.fenced
+	s.engine.fenced = s.fenced
 	for len(orders) > 0 {
 		next := 0
 		for i, o := range orders {
@@ -115,14 +115,14 @@
 				next = i
 			}
 		}
-		w.engine.accept(orders[next].fence, orders[next].wants)
+		s.engine.accept(orders[next].fence, orders[next].layers)
 		orders = append(orders[:next], orders[next+1:]...)
 	}
-	return w.engine.holds
+	return s.engine.held
 }
 
 // count runs every interleaving and counts those that end with the old owner's order.
-func count(g guards) (wrong, all int) {
+func count(g safeguards) (wrong, all int) {
 	steps := []time.Duration{0, time.Second, 3 * time.Second, 7 * time.Second, 9 * time.Second, 11 * time.Second, 30 * time.Second}
 	latencies := []time.Duration{0, 500 * time.Millisecond, 1900 * time.Millisecond}
 	for _, reply := range steps[:4] {
@@ -130,9 +130,9 @@
 			for _, latency := range latencies {
 				for _, takeover := range []time.Duration{0, time.Second, 5 * time.Second} {
 					for _, stall := range steps {
-						w := scenario{guards: g, reply: reply, pause: pause, latency: latency, takeover: takeover, stall: stall}
+						s := scenario{safeguards: g, reply: reply, pause: pause, latency: latency, takeover: takeover, stall: stall}
 						all++
-						if w.run() != "new" {
+						if s.run() != "new" {
 							wrong++
 						}
 					}
@@ -149,19 +149,19 @@
 func TestOwnerChangeInAllInterleavings(t *testing.T) {
 	cases := []struct {
 		name string
-		guards
+		safeguards
 		safe bool
 	}{
-		{"engines reject old tokens", guards{fenced: true, fromRequest: true}, true},
-		{"engines ignore tokens, all safeguards", guards{wait: true, recheck: true, reconcile: true, fromRequest: true}, true},
-		{"engines ignore tokens, no reconciliation", guards{wait: true, recheck: true, fromRequest: true}, false},
-		{"engines ignore tokens, no wait and no reconciliation", guards{recheck: true, fromRequest: true}, false},
-		{"mutation: measured from the reply, no reconciliation", guards{wait: true, recheck: true}, false},
-		{"mutation: no safeguards", guards{}, false},
+		{"engines reject old tokens", safeguards{fenced: true, fromRequest: true}, true},
+		{"engines ignore tokens, all safeguards", safeguards{wait: true, recheck: true, reconcile: true, fromRequest: true}, true},
+		{"engines ignore tokens, no reconciliation", safeguards{wait: true, recheck: true, fromRequest: true}, false},
+		{"engines ignore tokens, no wait and no reconciliation", safeguards{recheck: true, fromRequest: true}, false},
+		{"mutation: measured from the reply, no reconciliation", safeguards{wait: true, recheck: true}, false},
+		{"mutation: no safeguards", safeguards{}, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			wrong, all := count(c.guards)
+			wrong, all := count(c.safeguards)
 			assert.Equal(t, wrong == 0, c.safe, fmt.Sprintf("%d of %d interleavings end with the old order", wrong, all))
 		})
 	}
--- a/pkmember/member.go
+++ b/pkmember/member.go
@@ -30,8 +30,8 @@
 	return xxhash.Sum64String(string(m.Instance) + "\x00" + key)
 }
 
-// TopRanked returns up to n members in the rendezvous order of key. When a member joins or leaves, only
-// the keys that it is responsible for move.
+// TopRanked returns up to n members in the rendezvous order of key. When a member joins or leaves,
+// only the keys that it is responsible for move.
 func TopRanked(members []Member, key string, n int) []Member {
 	sorted := slices.Clone(members)
 	slices.SortFunc(sorted, func(a, b Member) int {
--- a/pkmember/message.go
+++ b/pkmember/message.go
@@ -50,12 +50,12 @@
 	Known   []Member `cbor:"4,keyasint,omitempty"`
 }
 
-// Update is the periodic update that an entry sends to its neighbors. Counts holds only what changed
-// since the previous update on the same connection.
+// Update is the periodic update that an entry sends to its neighbors. Counts holds only what
+// changed since the previous update on the same connection.
 //
-// Each target is named once on a connection, in Names, and is then referred to by its index in the
-// list of all names so far. Names would otherwise be most of the traffic, whose limit determines
-// how old counts become.
+// Each target is named once on a connection, in Names, and is then referred to by its reference
+// number, the index in the list of all names so far. Names would otherwise be most of the traffic,
+// whose limit determines how old counts become.
 type Update struct {
 	Names     []pkid.TargetID   `cbor:"7,keyasint,omitempty"`
 	Refs      []int             `cbor:"8,keyasint,omitempty"`
@@ -119,10 +119,10 @@
 	sendBudget = 10_000
 )
 
-// UpdateInterval returns the interval until the next update, given the size in bytes of the last one and the
-// number of links it was sent on. Traffic stays within the send budget at any number of neighbors:
-// with more of them counts are older, which the targets' own reports compensate for.
-func UpdateInterval(size, links int) time.Duration {
-	d := time.Duration(size) * time.Duration(links) * time.Second / sendBudget
+// UpdateInterval returns the interval until the next update, given the size in bytes of the last
+// one and the number of peers it was sent to. Traffic stays within the send budget at any number of
+// neighbors: with more of them counts are older, which the targets' own reports compensate for.
+func UpdateInterval(size, peers int) time.Duration {
+	d := time.Duration(size) * time.Duration(peers) * time.Second / sendBudget
 	return min(max(d, minInterval), maxInterval)
 }
--- a/pkmember/refs.go
+++ b/pkmember/refs.go
@@ -6,26 +6,27 @@
 	"peridotknot.example/pkid"
 )
 
-// RefEncoder numbers targets on the sending side of one connection; the zero value is for a new
-// connection.
+// RefEncoder assigns reference numbers to targets on the sending side of one connection; the zero
+// value is for a new connection.
 type RefEncoder struct{ refs map[pkid.TargetID]int }
 
-// Ref returns the number of a target, and adds its name to s if the number is new.
-func (r *RefEncoder) Ref(id pkid.TargetID, s *Update) int {
-	if ref, found := r.refs[id]; found {
+// Ref returns the reference number of a target, and adds the target's name to u if the number is
+// new.
+func (e *RefEncoder) Ref(id pkid.TargetID, u *Update) int {
+	if ref, found := e.refs[id]; found {
 		return ref
 	}
-	if r.refs == nil {
-		r.refs = map[pkid.TargetID]int{}
+	if e.refs == nil {
+		e.refs = map[pkid.TargetID]int{}
 	}
-	ref := len(r.refs)
-	r.refs[id] = ref
-	s.Names = append(s.Names, id)
+	ref := len(e.refs)
+	e.refs[id] = ref
+	u.Names = append(u.Names, id)
 	return ref
 }
 
-// RefDecoder maps numbers to targets on the receiving side of one connection; the zero value is for a
-// new connection.
+// RefDecoder maps reference numbers to targets on the receiving side of one connection; the zero
+// value is for a new connection.
 type RefDecoder struct{ list []pkid.TargetID }
 
 // maxNames limits the memory that a peer can make an entry use.
@@ -37,35 +38,35 @@
 	errCountsMismatch = errors.New("peer sent unequal numbers of targets and counts")
 )
 
-// Resolve sets the targets that the numbers in s refer to.
-func (n *RefDecoder) Resolve(s *Update) error {
-	if len(n.list)+len(s.Names) > maxNames {
+// Resolve sets the targets that the reference numbers in u stand for.
+func (d *RefDecoder) Resolve(u *Update) error {
+	if len(d.list)+len(u.Names) > maxNames {
 		return errTooManyNames
 	}
-	n.list = append(n.list, s.Names...)
-	if len(s.Refs) != len(s.RefCounts) {
+	d.list = append(d.list, u.Names...)
+	if len(u.Refs) != len(u.RefCounts) {
 		return errCountsMismatch
 	}
-	for i, ref := range s.Refs {
-		id, err := n.at(ref)
+	for i, ref := range u.Refs {
+		id, err := d.at(ref)
 		if err != nil {
 			return err
 		}
-		s.Counts = append(s.Counts, Count{Target: id, N: s.RefCounts[i]})
+		u.Counts = append(u.Counts, Count{Target: id, N: u.RefCounts[i]})
 	}
-	for i := range s.Reports {
-		id, err := n.at(s.Reports[i].Ref)
+	for i := range u.Reports {
+		id, err := d.at(u.Reports[i].Ref)
 		if err != nil {
 			return err
 		}
-		s.Reports[i].Target = id
+		u.Reports[i].Target = id
 	}
 	return nil
 }
 
-func (n *RefDecoder) at(ref int) (pkid.TargetID, error) {
-	if ref < 0 || ref >= len(n.list) {
+func (d *RefDecoder) at(ref int) (pkid.TargetID, error) {
+	if ref < 0 || ref >= len(d.list) {
 		return "", errUnknownRef
 	}
-	return n.list[ref], nil
+	return d.list[ref], nil
 }
--- a/pkmember/refs_test.go
+++ b/pkmember/refs_test.go
@@ -9,36 +9,36 @@
 	"peridotknot.example/pkid"
 )
 
-// Guards against the two sides of a connection disagreeing on a number, which would count requests
-// on the wrong target.
-func TestNumbersResolveToTheSameTargets(t *testing.T) {
+// Guards against the two sides of a connection disagreeing on a reference number, which would count
+// requests on the wrong target.
+func TestRefsResolveToSameTargets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var refs RefEncoder
-		var names RefDecoder
+		var encoder RefEncoder
+		var decoder RefDecoder
 		ids := rapid.SliceOfN(rapid.StringMatching("[a-e]"), 0, 8)
 		for range rapid.IntRange(1, 10).Draw(t, "shares") {
-			var s Update
+			var u Update
 			sent := ids.Draw(t, "ids")
 			for i, id := range sent {
-				s.Refs = append(s.Refs, refs.Ref(pkid.TargetID(id), &s))
-				s.RefCounts = append(s.RefCounts, int64(i))
+				u.Refs = append(u.Refs, encoder.Ref(pkid.TargetID(id), &u))
+				u.RefCounts = append(u.RefCounts, int64(i))
 			}
-			if err := names.Resolve(&s); err != nil {
+			if err := decoder.Resolve(&u); err != nil {
 				t.Fatal(err)
 			}
 			for i, id := range sent {
-				if s.Counts[i] != (Count{Target: pkid.TargetID(id), N: int64(i)}) {
-					t.Fatalf("%v was sent as %s", s.Counts[i], id)
+				if u.Counts[i] != (Count{Target: pkid.TargetID(id), N: int64(i)}) {
+					t.Fatalf("%v was sent as %s", u.Counts[i], id)
 				}
 			}
 		}
 	})
 }
 
-func TestResolveRejectsInvalidNumbers(t *testing.T) {
+func TestResolveRejectsInvalidRefs(t *testing.T) {
 	cases := map[string]struct {
-		share Update
-		want  error
+		update Update
+		want   error
 	}{
 		"unknown number":                        {Update{Refs: []int{0}, RefCounts: []int64{1}}, errUnknownRef},
 		"negative number":                       {Update{Names: []pkid.TargetID{"a"}, Refs: []int{-1}, RefCounts: []int64{1}}, errUnknownRef},
@@ -48,8 +48,8 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			var n RefDecoder
-			assert.ErrorIs(t, n.Resolve(&c.share), c.want)
+			var d RefDecoder
+			assert.ErrorIs(t, d.Resolve(&c.update), c.want)
 		})
 	}
 }
--- a/pkmember/table.go
+++ b/pkmember/table.go
@@ -16,11 +16,11 @@
 	// forgetAfter is how long an entry keeps trying to reach a silent member, so that data centres
 	// that were partitioned for an hour reconnect.
 	forgetAfter = 2 * time.Hour
-	// remoteLinks is the number of members of each other neighborhood that an entry sends to.
-	remoteLinks = 2
+	// remotePeers is the number of members of each other neighborhood that an entry sends to.
+	remotePeers = 2
 )
 
-// Table holds what one entry knows of the others.
+// Table holds the state of the other entries.
 type Table struct {
 	mu      sync.Mutex
 	self    Member
@@ -32,8 +32,8 @@
 
 type memberState struct {
 	Member
-	lastHeard     time.Time
-	everConnected bool
+	lastReceivedAt time.Time
+	everConnected  bool
 	// disconnected is set while the member has no connection to this entry. connection is the
 	// number of its last one.
 	disconnected bool
@@ -50,8 +50,8 @@
 // Self returns this entry's own member.
 func (t *Table) Self() Member { return t.self }
 
-// AddKnown adds members known from another entry, the store or the settings. They count as alive only
-// once they connect.
+// AddKnown adds members reported by another entry, the store or the settings. They count as alive
+// only once they connect.
 func (t *Table) AddKnown(now time.Time, known []Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -69,7 +69,7 @@
 	}
 	state, found := t.members[m.Instance]
 	if !found {
-		state = &memberState{Member: m, lastHeard: now, counts: map[pkid.TargetID]int64{}, pools: map[pkid.PoolID]PoolCount{}}
+		state = &memberState{Member: m, lastReceivedAt: now, counts: map[pkid.TargetID]int64{}, pools: map[pkid.PoolID]PoolCount{}}
 		t.members[m.Instance] = state
 	}
 	return state
@@ -84,7 +84,7 @@
 	if state == nil {
 		return 0
 	}
-	state.lastHeard = now
+	state.lastReceivedAt = now
 	state.everConnected = true
 	state.disconnected = false
 	state.connection++
@@ -93,32 +93,32 @@
 }
 
 // Apply applies an update from a member.
-func (t *Table) Apply(now time.Time, from Instance, s *Update) {
+func (t *Table) Apply(now time.Time, from Instance, u *Update) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	state, found := t.members[from]
 	if !found {
 		return
 	}
-	state.lastHeard = now
-	for _, c := range s.Counts {
+	state.lastReceivedAt = now
+	for _, c := range u.Counts {
 		if c.N == 0 {
 			delete(state.counts, c.Target)
 		} else {
 			state.counts[c.Target] = c.N
 		}
 	}
-	for _, p := range s.Pools {
+	for _, p := range u.Pools {
 		state.pools[p.Pool] = p
 	}
-	for _, m := range s.Known {
+	for _, m := range u.Known {
 		t.add(now, m)
 	}
 }
 
-// Disconnected records that a connection from a member has ended and drops the member's counts: if its VM
-// failed, the engines drop its requests, and if only the connection did, the next one sends the
-// counts again. It has no effect once a newer connection is open.
+// Disconnected records that a connection from a member has ended and drops the member's counts: if
+// its VM failed, the engines drop its requests, and if only the connection did, the next one sends
+// the counts again. It has no effect once a newer connection is open.
 func (t *Table) Disconnected(id Instance, connection uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -143,10 +143,10 @@
 	for id, state := range t.members {
 		limit := forgetAfter
 		if !state.everConnected {
-			// Members that are only known from others are dropped sooner.
+			// Members that were only reported by others are dropped sooner.
 			limit = aliveTimeout
 		}
-		if now.Sub(state.lastHeard) > limit {
+		if now.Sub(state.lastReceivedAt) > limit {
 			delete(t.members, id)
 		}
 	}
@@ -158,7 +158,7 @@
 }
 
 func (m *memberState) alive(now time.Time) bool {
-	return m.everConnected && !m.disconnected && now.Sub(m.lastHeard) <= aliveTimeout
+	return m.everConnected && !m.disconnected && now.Sub(m.lastReceivedAt) <= aliveTimeout
 }
 
 // Neighbors returns the live members of this entry's neighborhood, itself included, in order of
@@ -176,8 +176,8 @@
 	return out
 }
 
-// LiveMembers returns all live members, this entry included. A joining entry that receives them can reach
-// every member that it needs.
+// LiveMembers returns all live members, this entry included. A joining entry that receives them can
+// reach every member that it needs.
 func (t *Table) LiveMembers(now time.Time) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -207,7 +207,7 @@
 		}
 	}
 	for _, members := range remote {
-		out = append(out, TopRanked(members, string(t.self.Instance), remoteLinks)...)
+		out = append(out, TopRanked(members, string(t.self.Instance), remotePeers)...)
 	}
 	sortMembers(out)
 	return out
@@ -244,8 +244,9 @@
 	return inFlight, neighbors
 }
 
-// MembersSharingID returns live members whose entry ID another entry has as well, as when two VMs were given
-// the same ID. Their counts are kept apart, but an operator must give one of them another ID.
+// MembersSharingID returns live members whose entry ID another entry has as well, as when two VMs
+// were given the same ID. Their counts are kept apart, but an operator must give one of them
+// another ID.
 func (t *Table) MembersSharingID(now time.Time) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkmember/table_test.go
+++ b/pkmember/table_test.go
@@ -57,6 +57,7 @@
 	}
 }
 
+// Guards against work that is assigned to a member that nobody can reach.
 func TestMemberThatNeverConnectedIsNotAlive(t *testing.T) {
 	table := NewTable(neighbor("a"))
 	table.AddKnown(start, []Member{neighbor("b")})
@@ -67,24 +68,25 @@
 }
 
 // Counts are sent as changes on one connection. Counts left from a broken connection or a failed
-// member would make a target look busy for ever.
+// member would make a target look busy forever.
 func TestCountsAreResetByConnections(t *testing.T) {
 	table := NewTable(neighbor("a"))
 	count := func(now time.Time) int64 { return table.Counts(now)["t"] }
-	share := func(n int64) *Update { return &Update{Counts: []Count{{Target: "t", N: n}}} }
+	update := func(n int64) *Update { return &Update{Counts: []Count{{Target: "t", N: n}}} }
 	table.Connected(start, neighbor("b"))
-	table.Apply(start, "b", share(7))
+	table.Apply(start, "b", update(7))
 	assert.Equal(t, count(start), int64(7))
 	table.Connected(start, neighbor("b"))
 	assert.Equal(t, count(start), int64(0))
-	table.Apply(start, "b", share(3))
+	table.Apply(start, "b", update(3))
 	assert.Equal(t, count(start.Add(time.Hour)), int64(0))
 	table.Disconnected("b", 2)
 	table.Apply(start, "b", &Update{})
 	assert.Equal(t, count(start), int64(0))
 }
 
-func TestRemoteLinksAreBounded(t *testing.T) {
+// Guards against connections that grow with the size of the fleet.
+func TestRemotePeersAreBounded(t *testing.T) {
 	table := NewTable(neighbor("self"))
 	for n := range 17 {
 		for i := range 22 {
@@ -96,7 +98,7 @@
 			table.Connected(start, m)
 		}
 	}
-	assert.Equal(t, len(table.SendPeers(start)), 22+16*remoteLinks)
+	assert.Equal(t, len(table.SendPeers(start)), 22+16*remotePeers)
 }
 
 // Guards against targets that are polled by all members or by none: members must agree on who is
@@ -118,17 +120,18 @@
 				t.Fatalf("%s moved from %s to %s", key, before.Instance, after.Instance)
 			}
 			if TopRanked(members, key, 1)[0] != before {
-				t.Fatal("the first member is not the owner")
+				t.Fatal("the top-ranked member is not the owner")
 			}
 		}
 	})
 }
 
+// Guards against control traffic that grows with the number of neighbors.
 func TestIntervalKeepsTheSendBudget(t *testing.T) {
-	for _, links := range []int{1, 7, 21, 54} {
+	for _, peers := range []int{1, 7, 21, 54} {
 		for _, size := range []int{50, 500, 1500} {
-			perSecond := float64(size*links) / UpdateInterval(size, links).Seconds()
-			assert.Assert(t, perSecond <= sendBudget*1.01 || UpdateInterval(size, links) == maxInterval, "%d links of %d bytes: %.0f B/s", links, size, perSecond)
+			perSecond := float64(size*peers) / UpdateInterval(size, peers).Seconds()
+			assert.Assert(t, perSecond <= sendBudget*1.01 || UpdateInterval(size, peers) == maxInterval, "%d peers, %d bytes: %.0f B/s", peers, size, perSecond)
 		}
 	}
 }
--- a/pkorder/plan.go
+++ b/pkorder/plan.go
@@ -17,8 +17,8 @@
 	Model *pkmanifest.Model
 	// Targets are the pool's engines that are not leaving.
 	Targets []*pktarget.Target
-	// Loading are the engines that are carrying out an order, with the range they will hold; the
-	// zero range if it is unknown.
+	// Loading maps each engine that is carrying out an order to the range it will hold; zero if
+	// unknown.
 	Loading map[pkid.TargetID]pkid.Range
 	// Demand is how many requests the pool must be able to run at once.
 	Demand float64
@@ -34,9 +34,9 @@
 const (
 	// headroom is the factor by which the capacity must exceed the demand while engines reload.
 	headroom = 1.15
-	// minCapacityShare is the share of the pool's full capacity that is kept whatever the demand
+	// minInServiceShare is the share of the pool's full capacity that is kept whatever the demand
 	// is: a burst arrives faster than weights can be loaded.
-	minCapacityShare = 0.75
+	minInServiceShare = 0.75
 )
 
 // Next returns the orders that may be sent now.
@@ -47,8 +47,8 @@
 	for len(out) < budget {
 		t, r, found := p.bestReload(p.minCapacity())
 		if !found && len(out)+len(s.Loading) == 0 {
-			// A small pool cannot keep minCapacityShare without any of its engines. Only the demand
-			// counts then, or the pool would never be upgraded.
+			// A small pool cannot keep minInServiceShare without any of its engines. Only the
+			// demand counts then, or the pool would never be upgraded.
 			t, r, found = p.bestReload(s.Demand * headroom)
 		}
 		if !found {
@@ -125,7 +125,7 @@
 }
 
 // minCapacity returns the capacity that must stay in service.
-func (p *plan) minCapacity() float64 { return max(p.Demand*headroom, minCapacityShare*p.fullCapacity) }
+func (p *plan) minCapacity() float64 { return max(p.Demand*headroom, minInServiceShare*p.fullCapacity) }
 
 // apportion splits n targets by weight, with the largest remainders rounded up.
 func apportion(splits []pkmanifest.Split, n int) map[pkid.Range]int {
--- a/pkorder/plan_test.go
+++ b/pkorder/plan_test.go
@@ -52,26 +52,26 @@
 		loading := map[pkid.TargetID]pkid.Range{}
 		for range 4 * n {
 			orders := Next(PoolState{Model: m, Targets: targets, Loading: loading, Demand: demand})
-			for _, one := range orders {
-				loading[one.Target.Info.ID] = pkid.Range{First: one.Order.First, End: one.Order.End}
+			for _, order := range orders {
+				loading[order.Target.Info.ID] = pkid.Range{First: order.Order.First, End: order.Order.End}
 			}
 			if len(loading) > maxLoads {
 				t.Fatalf("%d engines are loading at once", len(loading))
 			}
 			var serving []*pktarget.Target
-			for _, one := range targets {
-				if _, busy := loading[one.Info.ID]; !busy {
-					serving = append(serving, one)
+			for _, target := range targets {
+				if _, busy := loading[target.Info.ID]; !busy {
+					serving = append(serving, target)
 				}
 			}
 			p := newPlan(PoolState{Model: m, Targets: serving})
 			if got := p.slots.flow(8); len(orders) > 0 && got < demand {
 				t.Fatalf("%g slots stay in service for a demand of %g", got, demand)
 			}
-			for _, one := range orders {
-				r := pkid.Range{First: one.Order.First, End: one.Order.End}
-				one.Target.SetHolding(pktarget.Holding{Model: "m", Version: one.Order.Version, Range: r})
-				delete(loading, one.Target.Info.ID)
+			for _, order := range orders {
+				r := pkid.Range{First: order.Order.First, End: order.Order.End}
+				order.Target.SetHolding(pktarget.Holding{Model: "m", Version: order.Order.Version, Range: r})
+				delete(loading, order.Target.Info.ID)
 			}
 		}
 		have := newPlan(PoolState{Model: m, Targets: targets}).have
@@ -81,6 +81,8 @@
 	})
 }
 
+// Guards against reloads that the demand, the load limit or the manifest does not allow, and
+// against missing ones.
 func TestNext(t *testing.T) {
 	cases := map[string]struct {
 		targets []*pktarget.Target
@@ -104,9 +106,9 @@
 		t.Run(name, func(t *testing.T) {
 			got := Next(PoolState{Model: testModel("2", 2), Targets: c.targets, Loading: c.loading, Demand: c.demand, Fence: 3})
 			assert.Equal(t, len(got), c.want)
-			for _, one := range got {
-				assert.Equal(t, one.Order.Fence, pkid.FencingToken(3))
-				assert.Equal(t, one.Order.Version, pkid.Version("2"))
+			for _, order := range got {
+				assert.Equal(t, order.Order.Fence, pkid.FencingToken(3))
+				assert.Equal(t, order.Order.Version, pkid.Version("2"))
 			}
 		})
 	}
--- a/pkowner/engine.go
+++ b/pkowner/engine.go
@@ -11,14 +11,14 @@
 type Report struct {
 	// AcceptedOrders is the number of orders accepted since the engine's start.
 	AcceptedOrders uint64
-	// Busy says that an order is being carried out.
+	// Busy is set while an order is being carried out.
 	Busy bool
 	Held pkid.Range
 	// Factor is the engine's slowdown relative to its kind; over 1 is slower.
 	Factor float64
 	// Requests is the number of running and queued requests.
 	Requests int
-	// KVUsed and Room are the used and total memory for requests, in tokens times layers.
+	// KVUsed and KVTotal are the used and total memory for requests, in tokens times layers.
 	KVUsed  float64
 	KVTotal float64
 	// Born distinguishes this start of the engine from others under the same ID.
@@ -27,9 +27,8 @@
 	Stalled []Stalled
 }
 
-// LostLayers reports whether an engine that is listed with layers has lost them in a restart: it reports
-// no layers and no accepted order. Until the engine reaches the store, the list names its former
-// layers.
+// LostLayers reports whether the engine restarted without the layers that the replica list still
+// shows.
 func (r Report) LostLayers(listed pkid.Range) bool {
 	return listed.Len() > 0 && r.AcceptedOrders == 0 && r.Held.Len() == 0 && !r.Busy
 }
@@ -40,7 +39,7 @@
 	Addr string
 }
 
-// Order tells an engine which layers to hold.
+// Order assigns layers to an engine.
 type Order struct {
 	Layers pkid.Range
 	// Fence is the fencing token of the owner's lease.
@@ -52,7 +51,7 @@
 // Outcome is the result of an order.
 type Outcome uint8
 
-// Outcomes of an order; the zero value is that of a lost answer.
+// Outcomes of an order; the zero value is that of a lost reply.
 const (
 	// Unknown means that the order may still be carried out, even seconds later.
 	Unknown Outcome = iota
@@ -75,11 +74,11 @@
 	Report(ctx context.Context, addr string) (Report, error)
 	// Place orders the engine at addr to hold a range of layers.
 	Place(ctx context.Context, addr string, o Order) (Outcome, error)
-	// AwaitClose keeps a connection to the engine at addr open until the engine closes it, as when its
-	// process ends. The error is that of connecting.
+	// AwaitClose keeps a connection to the engine at addr open until the engine closes it, as when
+	// its process ends. The error is that of connecting.
 	AwaitClose(ctx context.Context, addr string) error
-	// Leaving reports whether the health check of the engine at addr says that it is leaving or
-	// failing. An engine too busy to answer the check is not.
+	// Leaving reports whether the health check of the engine at addr fails because the engine is
+	// leaving or failing, not because it is at capacity.
 	Leaving(ctx context.Context, addr, healthPath string) (bool, error)
 	// Repath orders the first engine of a request to continue it on another path.
 	Repath(ctx context.Context, addr string, id pkid.RequestID, path []pkforward.Hop) (Outcome, error)
--- a/pkowner/scheduler.go
+++ b/pkowner/scheduler.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// retryDelay is how long to wait before an engine that rejected an order, or did not answer, is
+	// retryDelay is how long to wait before an engine that rejected an order, or did not reply, is
 	// tried again.
 	retryDelay = 500 * time.Millisecond
 	// loadTimeFactor multiplies the time that a load takes alone, since concurrent loads share the
@@ -29,7 +29,7 @@
 	replacementDelay = 2200 * time.Millisecond
 )
 
-// pendingOrder is an order that was sent and does not show in the replica list yet.
+// pendingOrder is an order whose effect is not in the replica list yet.
 type pendingOrder struct {
 	layers   pkid.Range
 	deadline time.Time
@@ -45,7 +45,8 @@
 type Scheduler struct {
 	pending map[pkid.TargetID]pendingOrder
 	retryAt map[pkid.TargetID]time.Time
-	// liveCount is the number of live targets, changedAt is when one last joined, left or restarted.
+	// liveCount is the number of live targets, changedAt is when one last joined, left or
+	// restarted.
 	liveCount int
 	changedAt time.Time
 	arrivals  map[pkid.TargetID]arrival
@@ -58,26 +59,26 @@
 }
 
 // Next returns the engines to send orders to at now, given the live targets of one pool.
-func (d *Scheduler) Next(now time.Time, m *pklayers.Model, live []*pkreplica.Target) []Task {
-	if len(live) != d.liveCount {
-		d.liveCount, d.changedAt = len(live), now
+func (s *Scheduler) Next(now time.Time, m *pklayers.Model, live []*pkreplica.Target) []Task {
+	if len(live) != s.liveCount {
+		s.liveCount, s.changedAt = len(live), now
 	}
 	byID := map[pkid.TargetID]*pkreplica.Target{}
 	cold := true
-	d.updateArrivals(now, live)
+	s.updateArrivals(now, live)
 	engines := make([]pklayers.Placement, 0, len(live))
 	for _, t := range live {
 		byID[t.ID] = t
-		engines = append(engines, pklayers.Placement{ID: t.ID, DataCenter: t.DataCenter, Kind: t.Kind, Held: d.layersOf(now, t), JustJoined: now.Sub(d.arrivals[t.ID].at) < replacementDelay})
+		engines = append(engines, pklayers.Placement{ID: t.ID, DataCenter: t.DataCenter, Kind: t.Kind, Held: s.layersOf(now, t), JustJoined: now.Sub(s.arrivals[t.ID].at) < replacementDelay})
 		cold = cold && engines[len(engines)-1].Held.Len() == 0
 	}
-	if cold && now.Sub(d.changedAt) < settleTime {
+	if cold && now.Sub(s.changedAt) < settleTime {
 		return nil
 	}
 	var out []Task
-	for id, layers := range pklayers.Plan(m, engines, now.Sub(d.changedAt)) {
+	for id, layers := range pklayers.Plan(m, engines, now.Sub(s.changedAt)) {
 		t := byID[id]
-		if _, isPending := d.pending[id]; isPending || now.Before(d.retryAt[id]) || t.Avoided(now) {
+		if _, isPending := s.pending[id]; isPending || now.Before(s.retryAt[id]) || t.Avoided(now) {
 			continue
 		}
 		out = append(out, Task{Target: t, Layers: layers})
@@ -88,51 +89,51 @@
 
 // updateArrivals adds new targets and removes those that are gone. For a target that has restarted
 // under its ID it drops the pending order, which was for the earlier start.
-func (d *Scheduler) updateArrivals(now time.Time, live []*pkreplica.Target) {
+func (s *Scheduler) updateArrivals(now time.Time, live []*pkreplica.Target) {
 	arrivals := make(map[pkid.TargetID]arrival, len(live))
 	for _, t := range live {
-		before, known := d.arrivals[t.ID]
+		before, known := s.arrivals[t.ID]
 		switch {
 		case !known:
 			before = arrival{at: now, born: t.Born}
 		case before.born != t.Born && before.born != 0:
 			before = arrival{at: now, born: t.Born}
-			d.changedAt = now
-			delete(d.pending, t.ID)
-			delete(d.retryAt, t.ID)
+			s.changedAt = now
+			delete(s.pending, t.ID)
+			delete(s.retryAt, t.ID)
 		default:
 			before.born = t.Born
 		}
 		arrivals[t.ID] = before
 	}
-	d.arrivals = arrivals
+	s.arrivals = arrivals
 }
 
-// layersOf returns the layers that a target holds or is loading. A pending order that does not show
+// layersOf returns the layers that a target holds or is loading. A pending order without an effect
 // in time is dropped: the engine may have restarted, or never received it.
-func (d *Scheduler) layersOf(now time.Time, t *pkreplica.Target) pkid.Range {
-	p, found := d.pending[t.ID]
+func (s *Scheduler) layersOf(now time.Time, t *pkreplica.Target) pkid.Range {
+	p, found := s.pending[t.ID]
 	if !found {
 		return t.Held
 	}
 	if t.Held == p.layers || now.After(p.deadline) {
-		delete(d.pending, t.ID)
+		delete(s.pending, t.ID)
 		return t.Held
 	}
 	return p.layers
 }
 
 // RecordOutcome records that task was sent at now, and its outcome.
-func (d *Scheduler) RecordOutcome(now time.Time, m *pklayers.Model, task Task, o Outcome) {
-	if d.pending == nil {
-		d.pending = map[pkid.TargetID]pendingOrder{}
-		d.retryAt = map[pkid.TargetID]time.Time{}
+func (s *Scheduler) RecordOutcome(now time.Time, m *pklayers.Model, task Task, o Outcome) {
+	if s.pending == nil {
+		s.pending = map[pkid.TargetID]pendingOrder{}
+		s.retryAt = map[pkid.TargetID]time.Time{}
 	}
 	if o == Rejected || o == Unknown {
-		d.retryAt[task.Target.ID] = now.Add(retryDelay)
+		s.retryAt[task.Target.ID] = now.Add(retryDelay)
 		return
 	}
 	fraction := float64(task.Layers.Len()) / float64(m.Layers)
 	loadTime := loadTimeMargin + time.Duration(loadTimeFactor*fraction*float64(m.LoadTime))
-	d.pending[task.Target.ID] = pendingOrder{layers: task.Layers, deadline: now.Add(loadTime)}
+	s.pending[task.Target.ID] = pendingOrder{layers: task.Layers, deadline: now.Add(loadTime)}
 }
--- a/pkowner/scheduler_test.go
+++ b/pkowner/scheduler_test.go
@@ -43,48 +43,48 @@
 func TestColdPoolIsPlannedOnceItHasSettled(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var p pool
-	var d Scheduler
+	var s Scheduler
 	for i := range 8 {
 		p.set(now, fmt.Sprint(i), pkid.Range{})
-		assert.Equal(t, len(d.Next(now, model(), p.live(now))), 0)
+		assert.Equal(t, len(s.Next(now, model(), p.live(now))), 0)
 		now = now.Add(settleTime / 2)
 	}
 	now = now.Add(settleTime)
-	assert.Equal(t, len(d.Next(now, model(), p.live(now))), 8)
+	assert.Equal(t, len(s.Next(now, model(), p.live(now))), 8)
 }
 
-// An order whose answer or effect is late must count as pending and not be repeated, but the engine
-// must be ordered again if it restarted empty.
+// An order that an engine has begun must not be repeated while its effect is not yet listed. One
+// without a reply is sent again after retryDelay, and so is one to an engine that restarted empty.
 func TestPendingOrderIsNotRepeated(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var p pool
-	var d Scheduler
+	var s Scheduler
 	for i := range 8 {
 		p.set(now, fmt.Sprint(i), pkid.Range{})
 	}
-	d.Next(now, model(), p.live(now))
+	s.Next(now, model(), p.live(now))
 	now = now.Add(2 * settleTime)
-	tasks := d.Next(now, model(), p.live(now))
+	tasks := s.Next(now, model(), p.live(now))
 	assert.Equal(t, len(tasks), 8)
 	for i, task := range tasks {
 		o := Begun
 		if i == 0 {
 			o = Unknown
 		}
-		d.RecordOutcome(now, model(), task, o)
+		s.RecordOutcome(now, model(), task, o)
 	}
-	assert.Equal(t, len(d.Next(now, model(), p.live(now))), 0)
+	assert.Equal(t, len(s.Next(now, model(), p.live(now))), 0)
 	now = now.Add(retryDelay)
-	again := d.Next(now, model(), p.live(now))
+	again := s.Next(now, model(), p.live(now))
 	assert.Equal(t, len(again), 1)
 	assert.Equal(t, again[0].Target.ID, tasks[0].Target.ID)
-	d.RecordOutcome(now, model(), again[0], Begun)
+	s.RecordOutcome(now, model(), again[0], Begun)
 	for _, task := range tasks {
 		p.set(now, string(task.Target.ID), task.Layers)
 	}
-	assert.Equal(t, len(d.Next(now, model(), p.live(now))), 0)
+	assert.Equal(t, len(s.Next(now, model(), p.live(now))), 0)
 	p.set(now, "3", pkid.Range{})
-	assert.Equal(t, len(d.Next(now, model(), p.live(now))), 1)
+	assert.Equal(t, len(s.Next(now, model(), p.live(now))), 1)
 }
 
 // In a rolling update the new engine starts two seconds before the old one leaves. It must wait and
@@ -92,19 +92,19 @@
 func TestReplacementTakesTheLayersOfTheLeavingEngine(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var p pool
-	var d Scheduler
+	var s Scheduler
 	rows := []pkid.Range{{First: 0, End: 5}, {First: 5, End: 10}, {First: 10, End: 15}, {First: 15, End: 20}}
 	for i, held := range append(rows, rows...) {
 		p.set(now, fmt.Sprint(i), held)
 	}
-	assert.Equal(t, len(d.Next(now, model(), p.live(now))), 0)
+	assert.Equal(t, len(s.Next(now, model(), p.live(now))), 0)
 	now = now.Add(time.Minute)
 	p.set(now, "new", pkid.Range{})
-	assert.Equal(t, len(d.Next(now, model(), p.live(now))), 0)
+	assert.Equal(t, len(s.Next(now, model(), p.live(now))), 0)
 	now = now.Add(replacementDelay - time.Millisecond)
-	assert.Equal(t, len(d.Next(now, model(), p.live(now))), 0, "the engine that it replaces has not left yet")
+	assert.Equal(t, len(s.Next(now, model(), p.live(now))), 0, "the engine that it replaces has not left yet")
 	p.remove(now, "2")
-	tasks := d.Next(now, model(), p.live(now))
+	tasks := s.Next(now, model(), p.live(now))
 	assert.Equal(t, len(tasks), 1)
 	assert.Equal(t, tasks[0].Target.ID, pkid.TargetID("new"))
 	assert.Assert(t, tasks[0].Layers.First <= rows[2].First && rows[2].End <= tasks[0].Layers.End, "%v", tasks[0].Layers)
@@ -113,25 +113,25 @@
 func TestAddedEngineIsPlacedAfterReplacementDelay(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var p pool
-	var d Scheduler
+	var s Scheduler
 	for i := range 8 {
 		first := pkid.Layer(5 * (i % 4))
 		p.set(now, fmt.Sprint(i), pkid.Range{First: first, End: first + 5})
 	}
-	d.Next(now, model(), p.live(now))
+	s.Next(now, model(), p.live(now))
 	now = now.Add(time.Minute)
 	p.set(now, "new", pkid.Range{})
-	assert.Equal(t, len(d.Next(now, model(), p.live(now))), 0)
+	assert.Equal(t, len(s.Next(now, model(), p.live(now))), 0)
 	now = now.Add(replacementDelay)
-	assert.Equal(t, len(d.Next(now, model(), p.live(now))), 1)
+	assert.Equal(t, len(s.Next(now, model(), p.live(now))), 1)
 }
 
-// An engine that crashes while it loads and restarts under its ID looks as empty as before. The
+// An engine that crashes while it loads and restarts under its ID is listed as empty again. The
 // order to its earlier start must not count as pending.
 func TestRestartedEngineIsOrderedAgain(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var p pool
-	var d Scheduler
+	var s Scheduler
 	for i := range 8 {
 		first := pkid.Layer(5 * (i % 4))
 		p.set(now, fmt.Sprint(i), pkid.Range{First: first, End: first + 5})
@@ -142,14 +142,14 @@
 		p.roster.Apply(now, []pkreplica.Record{{Revision: p.revision, Info: info}}, p.revision)
 	}
 	start(1)
-	d.Next(now, model(), p.live(now))
+	s.Next(now, model(), p.live(now))
 	now = now.Add(replacementDelay)
-	tasks := d.Next(now, model(), p.live(now))
+	tasks := s.Next(now, model(), p.live(now))
 	assert.Equal(t, len(tasks), 1)
-	d.RecordOutcome(now, model(), tasks[0], Begun)
-	assert.Equal(t, len(d.Next(now, model(), p.live(now))), 0)
+	s.RecordOutcome(now, model(), tasks[0], Begun)
+	assert.Equal(t, len(s.Next(now, model(), p.live(now))), 0)
 	start(2)
-	assert.Equal(t, len(d.Next(now, model(), p.live(now))), 0, "the engine that it replaces may not have left yet")
+	assert.Equal(t, len(s.Next(now, model(), p.live(now))), 0, "the engine that it replaces may not have left yet")
 	now = now.Add(replacementDelay)
-	assert.Equal(t, len(d.Next(now, model(), p.live(now))), 1)
+	assert.Equal(t, len(s.Next(now, model(), p.live(now))), 1)
 }
