--- a/pklayers/doc.go
+++ b/pklayers/doc.go
@@ -4,5 +4,6 @@
 // kind of accelerator. Plan is a pure function from the engines and the layers they hold now to the
 // layers they should hold next. A Path is a sequence of engines that runs each layer once and in
 // order, and Find returns the cheapest one. A path may use only some of the layers that an engine
-// holds, so it can switch between engines wherever their ranges overlap.
+// holds, so it can switch between engines wherever their ranges overlap. Package pklayers is used
+// by pkedge; pkroute is its counterpart in pkentry.
 package pklayers
--- a/pklayers/group.go
+++ b/pklayers/group.go
@@ -2,7 +2,7 @@
 
 import "peridotknot.example/pkid"
 
-// group is a set of data centres whose engines together hold all layers.
+// group is a set of data centres that is planned as a unit.
 type group map[pkid.DataCenter]bool
 
 // groups returns one group for each data centre that can hold the whole model at nominal capacity,
@@ -39,10 +39,8 @@
 	return out
 }
 
-// nominalCapacity returns how many tokens of KV cache an engine should have beside its layers: what
-// the model declares, or else enough for defaultConcurrency requests. With much less, requests are
-// refused while layers are held twice; with much more, few layers are held by two engines, and each
-// crash sends streams over the links between data centres.
+// nominalCapacity returns how many tokens of KV cache an engine should have beside its layers: the
+// declared capacity, or else enough for defaultConcurrency requests.
 func (m *Model) nominalCapacity() float64 {
 	if m.EngineTokens > 0 {
 		return float64(m.EngineTokens)
--- a/pklayers/layout.go
+++ b/pklayers/layout.go
@@ -8,10 +8,9 @@
 )
 
 // layOut plans a new pool from scratch, group by group. The fastest engines of a group come first
-// and are given adjacent ranges. Each engine takes as many layers as its nominal capacity allows,
-// where the group has the least capacity, so that memory left over after one copy of the model
-// holds layers twice. With a single copy, each lost engine would send its data centre's streams
-// over the links to others.
+// and are given adjacent ranges. Each engine takes the layers with the least capacity in its group,
+// as many as nominalLayers allows, so that spare memory holds second copies. With a single copy,
+// each lost engine would send its data centre's streams over the links to others.
 func layOut(m *Model, live []Placement) map[pkid.TargetID]pkid.Range {
 	sorted := slices.Clone(live)
 	slices.SortStableFunc(sorted, func(a, b Placement) int {
--- a/pklayers/link_usage.go
+++ b/pklayers/link_usage.go
@@ -27,8 +27,8 @@
 	busyUntil time.Time
 }
 
-// LinkUsage tracks the tokens that this entry sends over the links between data centres; the zero value
-// is empty.
+// LinkUsage tracks the tokens that this entry sends over the links between data centres; the zero
+// value is empty.
 type LinkUsage struct {
 	mu    sync.Mutex
 	links map[pair]linkState
@@ -89,10 +89,8 @@
 	return u.links[pairOf(a, b)].decayed(now)
 }
 
-// LinkCost returns the cost of sending a token over a link with so many tokens in flight: the wait
-// behind prompts, which are sent a chunk at a time, and the wait that the token adds for those
-// behind it. If a stream were charged for its own wait alone, it would cross links for a faster
-// engine until prompts delay the tokens of all others.
+// LinkCost returns the cost of sending a token over a link with inFlight tokens: the average of its
+// wait behind prompt chunks and the wait that it causes for others.
 func (m *Model) LinkCost(inFlight float64) time.Duration {
 	utilization := min(float64(m.TransferTime(inFlight))/float64(usageDecay), maxUtilization)
 	chunk := float64(m.TransferTime(float64(m.Chunk)))
--- a/pklayers/model.go
+++ b/pklayers/model.go
@@ -74,7 +74,8 @@
 	return min(int(m.Kinds[k].MemoryMB/m.LayerMB), m.Layers)
 }
 
-// KVCapacity returns the KV-cache capacity, in tokens, beside n layers; negative if they do not fit.
+// KVCapacity returns the KV-cache capacity, in tokens, beside n layers; negative if they do not
+// fit.
 func (m *Model) KVCapacity(k pkid.AcceleratorKind, n int) float64 {
 	const bytesPerMB = 1e6
 	if n <= 0 || m.Layers <= 0 {
--- a/pklayers/path.go
+++ b/pklayers/path.go
@@ -48,7 +48,7 @@
 	return c.Reach(home, to)
 }
 
-// Path is the engines that a request passes through and the time of a token over them.
+// Path lists the engines that a request passes through; Cost is the time per token.
 type Path struct {
 	Stages []Stage
 	Cost   time.Duration
@@ -71,7 +71,7 @@
 	if p, found := s.cheapestPath(); found || !s.revisited {
 		return p, found
 	}
-	// An engine pruned as dominated may be able to replace one that a path would revisit.
+	// An engine pruned as dominated may serve layers without visiting another engine twice.
 	s = newSearch(span, engines, c, home)
 	s.solve()
 	return s.cheapestPath()
@@ -113,8 +113,8 @@
 // prunedSizeHint preallocates for the number of engines kept in most pools.
 const prunedSizeHint = 512
 
-// findDominance returns the engine of a location that dominates e or that e dominates; the index is
-// negative if there is none.
+// findDominance returns the index of a kept engine at e's location that dominates e, or that e
+// dominates, in which case dominates is set; the index is negative if there is none.
 func findDominance(kept []Engine, next []int32, head int32, e *Engine) (i int32, dominates bool) {
 	for i = head; i >= 0; i = next[i] {
 		other := &kept[i]
--- a/pklayers/penalty.go
+++ b/pklayers/penalty.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// MemoryPenalty maps the utilization of an engine's KV cache to the factor by which its cost rises. It
-// decides how soon requests move to slower engines.
+// MemoryPenalty maps the utilization of an engine's KV cache to the factor by which its cost rises.
+// It decides how soon requests move to slower engines.
 type MemoryPenalty func(utilization float64) float64
 
 // minFree bounds the cost of a full engine.
@@ -16,13 +16,11 @@
 	return 1 / (free * free)
 }
 
-// InversePenalty doubles the cost of an engine at half utilization. A half-full engine is as fast as
-// an empty one, so a higher penalty would move requests to slower engines, where they hold memory
-// for longer. The penalty allows for requests of other entries that are not known yet.
+// InversePenalty doubles the cost of an engine at half utilization. The penalty allows for requests
+// of other entries that are not known yet.
 func InversePenalty(utilization float64) float64 { return 1 / max(1-utilization, minFree) }
 
-// LatePenalty penalizes memory little until an engine is nearly full. A few fast engines with
-// little memory overflow more often with it than with a penalty that rises earlier.
+// LatePenalty penalizes memory little until an engine is nearly full.
 func LatePenalty(utilization float64) float64 {
 	const sharpness = 4
 	return 1 / max(1-math.Pow(max(utilization, 0), sharpness), minFree)
--- a/pklayers/plan.go
+++ b/pklayers/plan.go
@@ -42,10 +42,11 @@
 	// urgentDelay is how long membership must be stable before an urgent move, so that engines that
 	// leave together are handled together.
 	urgentDelay = time.Second
-	// minMoveGain is the factor by which a move must reduce the shortage to be worth a load.
+	// minMoveGain is the factor by which a move must reduce the shortage to be worth reloading an
+	// engine.
 	minMoveGain = 1.08
-	// fullCapacityShare is the share of a new layout's capacity from which on a group counts as at
-	// full capacity.
+	// fullCapacityShare is the share of a new layout's capacity at or above which a group counts as
+	// at full capacity.
 	fullCapacityShare = 0.75
 )
 
@@ -56,7 +57,7 @@
 	Kind       pkid.AcceleratorKind
 	// Held is the range that it holds, or was ordered to hold and is loading.
 	Held pkid.Range
-	// JustJoined says that it joined so recently that the engine it replaces may not have left yet.
+	// JustJoined is set while the engine that this one replaces may not have left yet.
 	JustJoined bool
 }
 
@@ -65,7 +66,7 @@
 //
 // A pool that holds next to nothing is laid out from scratch. Otherwise empty engines are given the
 // layers with the least capacity, and the others keep theirs. Once membership has been stable for
-// long enough, one engine at a time is moved where that raises the least capacity, since a load
+// long enough, one engine at a time is moved where that raises the least capacity, since reloading
 // takes an engine out of service for seconds. Layers that no engine holds are taken over by the
 // engines next to them, or the pool is laid out again.
 func Plan(m *Model, engines []Placement, stableFor time.Duration) map[pkid.TargetID]pkid.Range {
--- a/pklayers/plan_test.go
+++ b/pklayers/plan_test.go
@@ -256,18 +256,18 @@
 		assert.Assert(t, found)
 		next := pkid.Layer(0)
 		seen := map[pkid.TargetID]bool{}
-		for _, part := range p.Stages {
-			assert.Equal(t, part.Layers.First, next)
-			assert.Assert(t, !seen[part.ID])
-			seen[part.ID] = true
-			next = part.Layers.End
+		for _, stage := range p.Stages {
+			assert.Equal(t, stage.Layers.First, next)
+			assert.Assert(t, !seen[stage.ID])
+			seen[stage.ID] = true
+			next = stage.Layers.End
 		}
 		assert.Equal(t, int(next), m.Layers)
 	}
 }
 
 // Guards against streams that leave their data centre for good after its engines with the same
-// layers have left: other engines must move there, one at a time, until no move is needed.
+// layers have left: other engines must move there until no move is needed.
 func TestRebalanceMovesEnginesToScarceLayers(t *testing.T) {
 	m := testModel()
 	placements := applyPlan(t, m, largePool())
--- a/pklayers/pool.go
+++ b/pklayers/pool.go
@@ -29,8 +29,8 @@
 	fastTotal   layerCapacity
 	// nominal caches nominalLayers by kind.
 	nominal map[pkid.AcceleratorKind]int
-	// freshMin caches freshMinCapacity.
-	freshMin []int64
+	// newLayoutMin caches newLayoutMinCapacity.
+	newLayoutMin []int64
 	// shortages is the scratch buffer of scarcestRange.
 	shortages []float64
 }
@@ -97,14 +97,14 @@
 // atFullCapacity reports whether each layer of a group has about the capacity that a new layout of
 // the same engines would give it.
 func (p *pool) atFullCapacity(g int) bool {
-	if p.freshMin == nil {
-		p.freshMin = p.freshMinCapacity()
+	if p.newLayoutMin == nil {
+		p.newLayoutMin = p.newLayoutMinCapacity()
 	}
-	return float64(slices.Min(p.byGroup[g])) >= fullCapacityShare*float64(p.freshMin[g])
+	return float64(slices.Min(p.byGroup[g])) >= fullCapacityShare*float64(p.newLayoutMin[g])
 }
 
-// freshMinCapacity returns the least capacity of any layer in a new layout, by group.
-func (p *pool) freshMinCapacity() []int64 {
+// newLayoutMinCapacity returns the least capacity of any layer in a new layout, by group.
+func (p *pool) newLayoutMinCapacity() []int64 {
 	fresh := slices.Clone(p.engines)
 	layout := layOut(p.m, fresh)
 	for i := range fresh {
@@ -155,7 +155,8 @@
 	return float64(inGroup) + remoteWeight*float64(total-inGroup)
 }
 
-// fastKinds returns the kinds within fastRatio of the fastest engine; none if all engines are.
+// fastKinds returns the kinds within fastRatio of the fastest engine, or none if that includes
+// every kind.
 func (m *Model) fastKinds(engines []Placement) map[pkid.AcceleratorKind]bool {
 	if len(engines) == 0 {
 		return nil
--- a/pklayers/scale_test.go
+++ b/pklayers/scale_test.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// BenchmarkPlan measures the layout of a new pool and a plan that changes nothing, which the owner
-// computes five times a second.
+// Guards against a large pool in which a data centre holds some layer only once, or whose plan
+// changes again once it is carried out.
 func TestPlanLargePool(t *testing.T) {
 	m := testModel()
 	placements := fleetPool(4500, 17)
--- a/pklayers/search.go
+++ b/pklayers/search.go
@@ -37,8 +37,8 @@
 	dataCenters  []pkid.DataCenter
 	// crossings caches the costs between data centres; negative if not yet computed.
 	crossings []time.Duration
-	// revisited says that a path which revisits an engine exceeds the highest accepted cost once
-	// the engine keeps the layers in between.
+	// revisited is set if a path that visits an engine twice was dropped because it costs too much
+	// without the detour.
 	revisited bool
 }
 
@@ -189,7 +189,8 @@
 	return out, out.stages > 0
 }
 
-// cheapestByDataCenter returns the cheapest state by data centre; one without stages means none.
+// cheapestByDataCenter returns the cheapest state by data centre; a state without stages means that
+// there is none.
 func (s *search) cheapestByDataCenter(states []state) []state {
 	best := make([]state, len(s.dataCenters))
 	for _, st := range states {
@@ -239,38 +240,38 @@
 	return best, len(best.Stages) > 0
 }
 
-// backtrack returns the path to a final state. Engines refuse a path that revisits one; such an
-// engine holds all layers in between and keeps them.
+// backtrack returns the path to a final state. Engines refuse a path that visits an engine twice.
+// That engine holds all layers in between, so the path stays on it.
 func (s *search) backtrack(end state) Path {
-	var parts []Stage
+	var stages []Stage
 	var visited []int32
 	revisited := false
 	e := end.engine
 	for i := len(s.table) - 1; i >= 0; i-- {
 		if k := slices.Index(visited, e); k >= 0 {
 			revisited = revisited || k < len(visited)-1
-			parts, visited = parts[:k+1], visited[:k+1]
-			parts[k].Layers.First = s.boundaries[i]
+			stages, visited = stages[:k+1], visited[:k+1]
+			stages[k].Layers.First = s.boundaries[i]
 		} else {
 			visited = append(visited, e)
-			parts = append(parts, Stage{ID: s.engines[e].ID, Layers: pkid.Range{First: s.boundaries[i], End: s.boundaries[i+1]}})
+			stages = append(stages, Stage{ID: s.engines[e].ID, Layers: pkid.Range{First: s.boundaries[i], End: s.boundaries[i+1]}})
 		}
 		e = s.predecessor(i, e)
 	}
-	slices.Reverse(parts)
+	slices.Reverse(stages)
 	if !revisited {
-		return Path{Stages: parts, Cost: end.cost}
+		return Path{Stages: stages, Cost: end.cost}
 	}
 	slices.Reverse(visited)
-	return Path{Stages: parts, Cost: s.cost(parts, visited)}
+	return Path{Stages: stages, Cost: s.cost(stages, visited)}
 }
 
-// cost returns the time of a token over the parts, each at the engine of the same index.
-func (s *search) cost(parts []Stage, engines []int32) time.Duration {
+// cost returns the time of a token over the stages, each at the engine of the same index.
+func (s *search) cost(stages []Stage, engines []int32) time.Duration {
 	sum := s.costs.reach(s.home, s.engines[engines[0]].DataCenter)
 	for i, e := range engines {
 		engine := &s.engines[e]
-		sum += engine.QueueDelay + time.Duration(parts[i].Layers.Len())*engine.Cost
+		sum += engine.QueueDelay + time.Duration(stages[i].Layers.Len())*engine.Cost
 		if i > 0 {
 			sum += s.costs.Hop + s.crossing(s.dataCenterOf[engines[i-1]], s.dataCenterOf[e])
 		}
--- a/pkpace/table.go
+++ b/pkpace/table.go
@@ -16,12 +16,12 @@
 const (
 	// Nominal is the factor of an engine with the nominal speed.
 	Nominal Factor = 1
-	// slowThreshold is the factor from which on an engine counts as slow; reports of healthy
+	// slowThreshold is the factor at or above which an engine counts as slow; reports of healthy
 	// engines vary less.
 	slowThreshold Factor = 1.25
 	// changeFactor is the ratio by which a factor must change to be sent at once.
 	changeFactor = 1.5
-	// ttl is how long an observation is valid; it outlasts two lost polls.
+	// ttl is how long an observation is valid; two polls may be lost.
 	ttl = 2500 * time.Millisecond
 	// maxFactor bounds the factor that an engine may report.
 	maxFactor Factor = 1000
@@ -29,8 +29,8 @@
 	maxObservations = 256
 )
 
-// Observation is an observation of an engine's factor, as it is sent between entries. It carries an age in
-// place of a time, since the clocks of entries differ.
+// Observation is an observation of an engine's factor, as it is sent between entries. It carries an
+// age in place of a time, since the clocks of entries differ.
 type Observation struct {
 	Target pkid.TargetID `cbor:"1,keyasint"`
 	Factor Factor        `cbor:"2,keyasint"`
@@ -53,8 +53,8 @@
 	byTarget map[pkid.TargetID]record
 }
 
-// Record records at now a factor observed at a given time, from a start of the engine that is zero
-// if unknown. It reports whether the change is large enough to be sent to the other entries at
+// Record stores a factor that an engine with the start time born reported at a given time; born is
+// zero if unknown. It reports whether the change is large enough to be sent to the other entries at
 // once. Invalid, expired and outdated observations are ignored.
 func (t *Table) Record(now time.Time, id pkid.TargetID, born pkid.StartTime, f Factor, at time.Time) bool {
 	if f <= 0 || math.IsNaN(float64(f)) || at.After(now) || now.Sub(at) >= ttl {
@@ -81,7 +81,7 @@
 	return f >= changeFactor*last || last >= changeFactor*f
 }
 
-// Merge records an observation of another entry at now and reports whether it is to be sent on at
+// Merge records an observation of another entry at now and reports whether it must be forwarded at
 // once.
 func (t *Table) Merge(now time.Time, o Observation) bool {
 	return t.Record(now, o.Target, o.Born, o.Factor, now.Add(-time.Duration(max(o.AgeMS, 0))*time.Millisecond))
@@ -111,8 +111,8 @@
 	return n
 }
 
-// Observations returns the valid observations at now, the slowest engines first, and deletes the expired
-// ones.
+// Observations returns the valid observations at now, the slowest engines first, and deletes the
+// expired ones.
 func (t *Table) Observations(now time.Time) []Observation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkroute/chain.go
+++ b/pkroute/chain.go
@@ -17,7 +17,7 @@
 	StepTime time.Duration
 }
 
-// ErrNoChain says that no usable targets cover every layer once.
+// ErrNoChain is returned if no usable targets cover every layer.
 var ErrNoChain = errors.New("no usable targets cover every layer")
 
 const (
@@ -26,8 +26,8 @@
 	// extraSamples is how many unusable or repeated samples are tolerated before the range is
 	// scanned from a random position.
 	extraSamples = 6
-	// queueSteps is the cost of a place in an engine's queue, in steps: a queued sequence waits for
-	// another to end, not for a single step.
+	// queueSteps is the cost of a place in an engine's queue, in quarter steps: a queued sequence
+	// waits for another to end, not for a single step.
 	queueSteps = 12
 )
 
@@ -127,8 +127,8 @@
 	return c
 }
 
-// stepTime returns the time of a token through the stages. It leaves out the cost of queueing: a
-// deadline checked against that would refuse requests that only have to wait.
+// stepTime returns the time of a token through the stages. It leaves out the cost of queueing:
+// admission would otherwise refuse requests that can wait and still meet their deadline.
 func stepTime(stages []*pktarget.Target, opts *ChooseOptions) time.Duration {
 	from := opts.From
 	var total time.Duration
@@ -165,7 +165,7 @@
 	if found > 0 {
 		return found
 	}
-	// Only unusable targets were sampled, so most are unusable; a scan finds the last usable one.
+	// Only unusable targets were sampled; scan for a usable one.
 	start := opts.Rand.IntN(len(s.targets))
 	for i := range s.targets {
 		t := s.targets[(start+i)%len(s.targets)]
--- a/pkroute/doc.go
+++ b/pkroute/doc.go
@@ -7,5 +7,6 @@
 // depends on the number of ranges, not of engines, and entries that see the same stale load reports
 // do not all choose the same engine.
 //
-// A call to a plain service takes the less loaded of two random targets.
+// A call to a plain service takes the cheaper of two random targets, by load and link delay.
+// Package pkroute is used by pkentry; pklayers is its counterpart in pkedge.
 package pkroute
--- a/pkroute/service.go
+++ b/pkroute/service.go
@@ -6,10 +6,11 @@
 	"peridotknot.example/pktarget"
 )
 
-// ErrNoTarget says that a pool has no usable target.
+// ErrNoTarget is returned if a pool has no usable target.
 var ErrNoTarget = errors.New("the pool has no usable target")
 
-// ChooseServiceTarget returns the less loaded of two random usable targets, or ErrNoTarget.
+// ChooseServiceTarget returns the cheaper of two random usable targets by load and link delay, or
+// ErrNoTarget.
 func ChooseServiceTarget(targets []*pktarget.Target, opts ChooseOptions) (*pktarget.Target, error) {
 	if len(targets) == 0 {
 		return nil, ErrNoTarget
--- a/pkstall/stall.go
+++ b/pkstall/stall.go
@@ -26,11 +26,11 @@
 	// drainTime is how long after a stream fell silent another must have progressed to prove that
 	// an engine is alive: events that had passed a dead engine still arrive for a while.
 	drainTime = 45 * time.Millisecond
-	// minSilentStreams is how many streams must have fallen silent together.
+	// minSilentStreams is how many silent streams must share an engine.
 	minSilentStreams = 2
 	// maxProbes bounds the engines that are probed at once. Engines of a pipeline share all their
 	// streams, so each dead one leaves the whole pipeline as candidates; those with the most silent
-	// streams come first and the others after them.
+	// streams come first, the rest are probed in the next round.
 	maxProbes = 12
 	// firstEventShare is the share of the longest wait for the first event that callers accept
 	// after which a stream without one counts as silent.
@@ -42,14 +42,14 @@
 // Stream is the progress of one stream.
 type Stream struct {
 	Path []pkid.TargetID
-	// Started says that an event has arrived; Last is the time of the last one, or of sending the
-	// request.
+	// Started is set once an event has arrived; LastProgress is when the last event arrived, or
+	// when the request was sent.
 	Started      bool
 	LastProgress time.Time
 	// MeanGap is the mean time between events; zero before the second one.
 	MeanGap time.Duration
-	// MaxGap is the longest pause that the caller accepts, First the longest wait for the first
-	// event; zero if not stated.
+	// MaxGap is the longest pause that the caller accepts, MaxFirstWait the longest wait for the
+	// first event; zero if not stated.
 	MaxGap       time.Duration
 	MaxFirstWait time.Duration
 }
@@ -76,8 +76,8 @@
 	// Answered returns when an engine last gave a sign of life, zero if never; nil means never for
 	// all engines.
 	Answered func(pkid.TargetID) time.Time
-	// Seed orders engines with equally many silent streams. Entries that choose it at random probe
-	// different engines first and share what they find.
+	// Seed orders engines with equally many silent streams. Entries with different seeds probe
+	// different engines first.
 	Seed uint64
 }
 
@@ -90,8 +90,8 @@
 	rank      uint64
 }
 
-// ProbeTargets returns the engines to probe at now, those with the most silent streams first. Engines
-// that another stream has passed since, or that gave another sign of life, are left out.
+// ProbeTargets returns the engines to probe at now, those with the most silent streams first.
+// Engines that another stream has passed since, or that gave another sign of life, are left out.
 func ProbeTargets(now time.Time, streams []Stream, e Evidence) []pkid.TargetID {
 	candidates := candidatesOf(now, streams)
 	if candidates == nil {
--- a/pktarget/table.go
+++ b/pktarget/table.go
@@ -13,7 +13,7 @@
 
 const shardCount = 16
 
-// Table holds all targets that an entry knows; the zero value is empty.
+// Table holds all targets of an entry; the zero value is empty.
 type Table struct {
 	shards [shardCount]shard
 	// generation goes up whenever a target is added or removed or its holding changes, which
--- a/pktarget/target.go
+++ b/pktarget/target.go
@@ -61,7 +61,7 @@
 	ownRequests  atomic.Int64
 	peerRequests atomic.Int64
 	health       health
-	// leavingBy is the set of sources, one bit each, that say that the target is leaving.
+	// leavingBy is the set of sources, one bit each, that report the target as leaving.
 	leavingBy atomic.Uint32
 }
 
@@ -73,7 +73,8 @@
 	peers int64
 }
 
-// LeavingSource is a source of the information that a target is leaving; the values are bits of a set.
+// LeavingSource is a source of the information that a target is leaving; the values are bits of a
+// set.
 type LeavingSource uint32
 
 // Sources that can mark a target as leaving: the VM list, the target itself and the manifest.
@@ -155,8 +156,7 @@
 
 // Load returns the estimated number of sequences on the target: the last report corrected by the
 // requests that started and ended since, but at least the number that the entries have in flight.
-// Without the correction all entries send to a target that was idle in its last report until the
-// next one.
+// Uncorrected, all entries would choose the target that was idle in its last report.
 func (t *Target) Load() int64 {
 	own, peers := t.ownRequests.Load(), t.peerRequests.Load()
 	s := t.report.Load()
@@ -189,7 +189,8 @@
 	return int64(s.MaxBatch) - t.Load()
 }
 
-// TokenRate returns the tokens per second that the target generates with a full batch; 0 if unknown.
+// TokenRate returns the tokens per second that the target generates with a full batch; 0 if
+// unknown.
 func (t *Target) TokenRate() float64 {
 	s := t.report.Load()
 	if s == nil || s.MaxBatch == 0 {
@@ -202,13 +203,13 @@
 	return float64(s.MaxBatch) / full.Seconds()
 }
 
-// SetLeaving records whether a source says that the target is leaving.
-func (t *Target) SetLeaving(w LeavingSource, leaving bool) {
+// SetLeaving records whether a source reports the target as leaving.
+func (t *Target) SetLeaving(s LeavingSource, leaving bool) {
 	for {
 		old := t.leavingBy.Load()
-		next := old &^ uint32(w)
+		next := old &^ uint32(s)
 		if leaving {
-			next |= uint32(w)
+			next |= uint32(s)
 		}
 		if t.leavingBy.CompareAndSwap(old, next) {
 			return
@@ -216,10 +217,10 @@
 	}
 }
 
-// LeavingBy returns whether the given source says that the target is leaving.
-func (t *Target) LeavingBy(w LeavingSource) bool { return t.leavingBy.Load()&uint32(w) != 0 }
+// LeavingBy returns whether the given source reports the target as leaving.
+func (t *Target) LeavingBy(s LeavingSource) bool { return t.leavingBy.Load()&uint32(s) != 0 }
 
-// Leaving returns whether any source says that the target is leaving.
+// Leaving returns whether any source reports the target as leaving.
 func (t *Target) Leaving() bool { return t.leavingBy.Load() != 0 }
 
 // Usable returns whether the target may get new requests at now.
@@ -227,12 +228,13 @@
 	return !t.Leaving() && !t.health.ejected(now)
 }
 
-// RecordFailure records a call that failed at now, which ejects the target unless it is ejected already.
+// RecordFailure records a call that failed at now, which ejects the target unless it is ejected
+// already.
 func (t *Target) RecordFailure(now time.Time) { t.health.recordFailure(now) }
 
 // RecordSuccess records a successful call, which ends the ejection and resets its backoff.
 func (t *Target) RecordSuccess() { t.health.recordSuccess() }
 
 // Failing returns whether calls have failed and none has succeeded since. When most of a pool is
-// missing from the VM list, a target counts as lost only with this second sign.
+// missing from the VM list, a target is dropped only if its calls fail as well.
 func (t *Target) Failing() bool { return t.health.failures.Load() > 0 }
--- a/pktarget/target_test.go
+++ b/pktarget/target_test.go
@@ -71,6 +71,7 @@
 	assert.Equal(t, target.Load(), int64(1))
 }
 
+// Guards against a target ejected for seconds because all its streams failed at once.
 func TestEjectionDoublesAndResets(t *testing.T) {
 	target := NewTarget(Info{})
 	target.RecordFailure(start)
@@ -86,6 +87,7 @@
 	assert.Assert(t, target.Usable(again))
 }
 
+// Guards against requests to a leaving target because another source does not list it as leaving.
 func TestOneSourceMarksTargetAsLeaving(t *testing.T) {
 	target := NewTarget(Info{})
 	target.SetLeaving(SourceTarget, true)
@@ -96,6 +98,7 @@
 	assert.Assert(t, target.Usable(start))
 }
 
+// Guards against requests and route plans that keep the former address of a target.
 func TestApplyReplacesMovedTarget(t *testing.T) {
 	var table Table
 	table.Apply(list("a"))
