--- a/pkadmit/budget.go
+++ b/pkadmit/budget.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// RetryBudget is a token bucket that limits retries to a share of a pool's requests, so that a fault
-// which fails every request cannot double the load on the remaining targets.
+// RetryBudget is a token bucket that limits retries to a share of a pool's requests, so that a
+// fault which fails every request cannot double the load on the remaining targets.
 type RetryBudget struct {
 	mu     sync.Mutex
 	tokens float64
--- a/pkadmit/doc.go
+++ b/pkadmit/doc.go
@@ -5,5 +5,5 @@
 // between accounts by start-time fair queueing, with tokens as cost: the finish tag of an account
 // advances by the tokens of each request divided by the account's weight, and the waiting request
 // with the lowest start tag goes next. A request that cannot meet its deadline is refused at once
-// with a time to retry after, while the caller can still go elsewhere.
+// with a Retry-After time, so that the caller can still try elsewhere.
 package pkadmit
--- a/pkadmit/gate.go
+++ b/pkadmit/gate.go
@@ -58,13 +58,13 @@
 
 // Refusal is the error of a request that was not admitted.
 type Refusal struct {
-	// Late is set if the deadline cannot be met; otherwise the queue or the account's limit is
-	// full.
+	// Late is set if the deadline cannot be met; otherwise the queue is full or the account's limit
+	// is reached.
 	Late       bool
 	RetryAfter time.Duration
 }
 
-// Error returns the reason that callers are sent.
+// Error returns the message sent to the caller.
 func (r *Refusal) Error() string {
 	if r.Late {
 		return "the deadline cannot be met"
@@ -72,9 +72,9 @@
 	return "too many requests are waiting"
 }
 
-// Ticket is a waiting or running request.
+// Ticket is the place of a request in the gate, waiting or running.
 type Ticket struct {
-	ask       Request
+	req       Request
 	startTag  float64
 	startedAt time.Time
 	refused   *Refusal
@@ -92,21 +92,21 @@
 	return &Gate{opts: o, limit: limit, serviceTime: o.InitialServiceTime, accounts: map[pkid.AccountID]*account{}}
 }
 
-// Enter queues a request or refuses it. The ticket must be returned by Leave, or withdrawn if the
-// caller goes away before Ready is closed.
-func (g *Gate) Enter(now time.Time, ask Request) (*Ticket, *Refusal) {
+// Enter queues a request or refuses it. Each ticket must be passed to Leave, or to Cancel if the
+// caller disconnects before Ready is closed.
+func (g *Gate) Enter(now time.Time, req Request) (*Ticket, *Refusal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	a := g.account(ask)
-	if a.inFlight+len(a.queue) >= ask.MaxInFlight || len(a.queue) >= g.opts.MaxQueuePerAccount {
+	a := g.account(req)
+	if a.inFlight+len(a.queue) >= req.MaxInFlight || len(a.queue) >= g.opts.MaxQueuePerAccount {
 		return nil, &Refusal{RetryAfter: g.retryAfter(a)}
 	}
-	if wait := g.estimateWait(a); now.Add(wait + ask.MinServiceTime).After(ask.Deadline) {
+	if wait := g.estimateWait(a); now.Add(wait + req.MinServiceTime).After(req.Deadline) {
 		return nil, &Refusal{Late: true, RetryAfter: g.retryAfter(a)}
 	}
-	t := &Ticket{ask: ask, ready: make(chan struct{})}
+	t := &Ticket{req: req, ready: make(chan struct{})}
 	t.startTag = max(g.virtualTime, a.finishTag)
-	a.finishTag = t.startTag + float64(ask.Tokens)/a.weight
+	a.finishTag = t.startTag + float64(req.Tokens)/a.weight
 	a.queue = append(a.queue, t)
 	g.waiting++
 	g.dispatch(now)
@@ -117,15 +117,15 @@
 func (g *Gate) Leave(now time.Time, t *Ticket, used pkid.Tokens) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	a := g.accounts[t.ask.Account]
+	a := g.accounts[t.req.Account]
 	g.inFlight--
 	a.inFlight--
 	// Charge the actual usage instead of the estimate, so that overestimates do not starve the
 	// account.
-	a.finishTag += float64(used-t.ask.Tokens) / a.weight
+	a.finishTag += float64(used-t.req.Tokens) / a.weight
 	g.observeServiceTime(now.Sub(t.startedAt))
 	g.dispatch(now)
-	g.dropIdleAccount(t.ask.Account, a)
+	g.dropIdleAccount(t.req.Account, a)
 }
 
 // observeServiceTime updates the average: the first samples outweigh the initial assumption, later
@@ -136,7 +136,7 @@
 	g.serviceTime += (took - g.serviceTime) / time.Duration(g.samples)
 }
 
-// Cancel cancels a ticket that its caller no longer waits for. It reports whether the request had
+// Cancel gives up the ticket of a caller that has disconnected. It reports whether the request had
 // already started, in which case Leave must be called.
 func (g *Gate) Cancel(now time.Time, t *Ticket) bool {
 	g.mu.Lock()
@@ -165,9 +165,9 @@
 	for _, a := range g.accounts {
 		kept := a.queue[:0]
 		for _, t := range a.queue {
-			if now.Add(t.ask.MinServiceTime).After(t.ask.Deadline) {
+			if now.Add(t.req.MinServiceTime).After(t.req.Deadline) {
 				g.waiting--
-				a.finishTag -= float64(t.ask.Tokens) / a.weight
+				a.finishTag -= float64(t.req.Tokens) / a.weight
 				t.refused = &Refusal{Late: true, RetryAfter: g.retryAfter(a)}
 				close(t.ready)
 				continue
@@ -186,13 +186,13 @@
 	return g.inFlight, g.waiting, g.limit
 }
 
-func (g *Gate) account(ask Request) *account {
-	a, found := g.accounts[ask.Account]
+func (g *Gate) account(req Request) *account {
+	a, found := g.accounts[req.Account]
 	if !found {
 		a = &account{finishTag: g.virtualTime}
-		g.accounts[ask.Account] = a
+		g.accounts[req.Account] = a
 	}
-	a.weight = float64(max(ask.Weight, 1))
+	a.weight = float64(max(req.Weight, 1))
 	return a
 }
 
@@ -205,11 +205,11 @@
 }
 
 func (g *Gate) remove(t *Ticket) {
-	a := g.accounts[t.ask.Account]
+	a := g.accounts[t.req.Account]
 	for i, queued := range a.queue {
 		if queued == t {
 			a.queue = append(a.queue[:i], a.queue[i+1:]...)
-			a.finishTag -= float64(t.ask.Tokens) / a.weight
+			a.finishTag -= float64(t.req.Tokens) / a.weight
 			g.waiting--
 			return
 		}
--- a/pkadmit/gate_test.go
+++ b/pkadmit/gate_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1000, 0)
 
-func request(account pkid.AccountID, weight int, tokens pkid.Tokens) Request {
+func newRequest(account pkid.AccountID, weight int, tokens pkid.Tokens) Request {
 	return Request{Account: account, Weight: weight, MaxInFlight: 1000, Tokens: tokens, Deadline: start.Add(time.Hour)}
 }
 
@@ -31,8 +31,8 @@
 	g := NewGate(Options{MaxQueuePerAccount: 1000, InitialServiceTime: time.Second}, 1)
 	var waiting []*Ticket
 	for range 300 {
-		for _, ask := range []Request{request("burst", 1, 400), request("small", 1, 100), request("heavy", 2, 100)} {
-			ticket, refusal := g.Enter(start, ask)
+		for _, req := range []Request{newRequest("burst", 1, 400), newRequest("small", 1, 100), newRequest("heavy", 2, 100)} {
+			ticket, refusal := g.Enter(start, req)
 			assert.Assert(t, refusal == nil)
 			waiting = append(waiting, ticket)
 		}
@@ -44,49 +44,50 @@
 				continue
 			}
 			waiting = append(waiting[:i], waiting[i+1:]...)
-			served[ticket.ask.Account] += ticket.ask.Tokens
-			g.Leave(start, ticket, ticket.ask.Tokens)
+			served[ticket.req.Account] += ticket.req.Tokens
+			g.Leave(start, ticket, ticket.req.Tokens)
 			break
 		}
 	}
 	total := float64(served["burst"] + served["small"] + served["heavy"])
 	for account, share := range map[pkid.AccountID]float64{"burst": 0.25, "small": 0.25, "heavy": 0.5} {
 		got := float64(served[account]) / total
-		assert.Assert(t, got > share-0.03 && got < share+0.03, "%s has %.3f", account, got)
+		assert.Assert(t, got > share-0.03 && got < share+0.03, "%s has a share of %.3f", account, got)
 	}
 }
 
+// Guards against waiting for a place that the queue, the deadline or the account's limit rules out.
 func TestRefusals(t *testing.T) {
 	fullGate := func() *Gate {
 		g := NewGate(Options{MaxQueuePerAccount: 2, InitialServiceTime: time.Second}, 1)
-		_, refusal := g.Enter(start, request("a", 1, 1))
+		_, refusal := g.Enter(start, newRequest("a", 1, 1))
 		assert.Assert(t, refusal == nil)
 		return g
 	}
 	t.Run("queue full", func(t *testing.T) {
 		g := fullGate()
 		for range 2 {
-			_, refusal := g.Enter(start, request("a", 1, 1))
+			_, refusal := g.Enter(start, newRequest("a", 1, 1))
 			assert.Assert(t, refusal == nil)
 		}
-		_, refusal := g.Enter(start, request("a", 1, 1))
+		_, refusal := g.Enter(start, newRequest("a", 1, 1))
 		var r *Refusal
 		assert.Assert(t, errors.As(refusal, &r))
 		assert.Assert(t, !r.Late && r.RetryAfter >= time.Second)
-		_, refusal = g.Enter(start, request("b", 1, 1))
+		_, refusal = g.Enter(start, newRequest("b", 1, 1))
 		assert.Assert(t, refusal == nil, "another account still gets in")
 	})
 	t.Run("deadline cannot be met", func(t *testing.T) {
 		g := fullGate()
-		ask := request("b", 1, 1)
-		ask.Deadline = start.Add(100 * time.Millisecond)
-		_, refusal := g.Enter(start, ask)
+		req := newRequest("b", 1, 1)
+		req.Deadline = start.Add(100 * time.Millisecond)
+		_, refusal := g.Enter(start, req)
 		assert.Assert(t, refusal != nil && refusal.Late)
 	})
 	t.Run("limit of the account", func(t *testing.T) {
-		ask := request("a", 1, 1)
-		ask.MaxInFlight = 1
-		_, refusal := fullGate().Enter(start, ask)
+		req := newRequest("a", 1, 1)
+		req.MaxInFlight = 1
+		_, refusal := fullGate().Enter(start, req)
 		assert.Assert(t, refusal != nil && !refusal.Late)
 	})
 }
@@ -95,11 +96,11 @@
 // comes, and must no longer count against its account.
 func TestExpireRefusesAtOnce(t *testing.T) {
 	g := NewGate(Options{MaxQueuePerAccount: 10, InitialServiceTime: time.Millisecond}, 1)
-	running, _ := g.Enter(start, request("a", 1, 1))
-	ask := request("b", 1, 1)
-	ask.Deadline = start.Add(time.Second)
-	ask.MinServiceTime = 100 * time.Millisecond
-	ticket, refusal := g.Enter(start, ask)
+	running, _ := g.Enter(start, newRequest("a", 1, 1))
+	req := newRequest("b", 1, 1)
+	req.Deadline = start.Add(time.Second)
+	req.MinServiceTime = 100 * time.Millisecond
+	ticket, refusal := g.Enter(start, req)
 	assert.Assert(t, refusal == nil)
 	g.Expire(start.Add(800 * time.Millisecond))
 	assert.Assert(t, !admitted(ticket))
@@ -111,10 +112,11 @@
 	assert.Equal(t, inFlight+waiting, 0)
 }
 
-func TestWithdraw(t *testing.T) {
+// Guards against a place that stays taken after its caller disconnected.
+func TestCancel(t *testing.T) {
 	g := NewGate(DefaultOptions(), 1)
-	running, _ := g.Enter(start, request("a", 1, 1))
-	ticket, _ := g.Enter(start, request("a", 1, 1))
+	running, _ := g.Enter(start, newRequest("a", 1, 1))
+	ticket, _ := g.Enter(start, newRequest("a", 1, 1))
 	assert.Assert(t, !g.Cancel(start, ticket))
 	assert.Assert(t, g.Cancel(start, running))
 	g.Leave(start, running, 1)
@@ -137,7 +139,7 @@
 func BenchmarkEnterLeave(b *testing.B) {
 	g := NewGate(DefaultOptions(), 1000)
 	for b.Loop() {
-		ticket, _ := g.Enter(start, request("a", 1, 10))
+		ticket, _ := g.Enter(start, newRequest("a", 1, 10))
 		g.Leave(start, ticket, 10)
 	}
 }
--- a/pkadmit/usage.go
+++ b/pkadmit/usage.go
@@ -6,9 +6,9 @@
 	"peridotknot.example/pkid"
 )
 
-// UsageEstimator estimates which share of their requested tokens requests use. Callers often set a high
-// token limit and use little of it; admitted by the limit alone, requests would be refused for
-// deadlines that they can meet. The zero value starts at a quarter.
+// UsageEstimator estimates the tokens that a request will use from its token limit. Callers often
+// set a high limit and use little of it; admission by the limit alone would refuse requests that
+// can meet their deadlines. Until the first observation the ratio is a quarter.
 type UsageEstimator struct {
 	mu       sync.Mutex
 	ratio    float64
@@ -20,27 +20,27 @@
 	smoothing    = 0.05
 )
 
-// Estimate estimates the tokens used by a request that asks for asked.
-func (f *UsageEstimator) Estimate(asked pkid.Tokens) pkid.Tokens {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	ratio := f.ratio
-	if !f.observed {
+// Estimate returns the expected token usage of a request with the given token limit.
+func (e *UsageEstimator) Estimate(limit pkid.Tokens) pkid.Tokens {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	ratio := e.ratio
+	if !e.observed {
 		ratio = initialRatio
 	}
-	return pkid.Tokens(ratio * float64(asked))
+	return pkid.Tokens(ratio * float64(limit))
 }
 
-// Observe updates the estimate from a complete answer.
-func (f *UsageEstimator) Observe(asked, used pkid.Tokens) {
-	if asked <= 0 {
+// Observe updates the estimate from a request that ran to its end.
+func (e *UsageEstimator) Observe(limit, used pkid.Tokens) {
+	if limit <= 0 {
 		return
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if !f.observed {
-		f.ratio = initialRatio
-		f.observed = true
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if !e.observed {
+		e.ratio = initialRatio
+		e.observed = true
 	}
-	f.ratio += smoothing * (float64(used)/float64(asked) - f.ratio)
+	e.ratio += smoothing * (float64(used)/float64(limit) - e.ratio)
 }
--- a/pkanswer/run.go
+++ b/pkanswer/run.go
@@ -31,7 +31,7 @@
 	Deadline     time.Time
 }
 
-// Result is the result of an answer: its finish reason, empty if it failed, the tokens delivered
+// Result is the outcome of a request: the finish reason, empty if it failed, the tokens delivered
 // and the attempts made.
 type Result struct {
 	FinishReason string
@@ -46,7 +46,7 @@
 
 // Router chooses a chain of targets and leaves out those in avoid.
 type Router interface {
-	Choose(now time.Time, want pkroute.ChainSpec, avoid []pkid.TargetID) (pkroute.Chain, error)
+	Choose(now time.Time, spec pkroute.ChainSpec, avoid []pkid.TargetID) (pkroute.Chain, error)
 }
 
 // RetryBudget limits retries; Spend takes one from it and returns false if there is none left.
@@ -77,7 +77,7 @@
 	return Options{MaxAttempts: 6, ChainTimeout: 2 * time.Second, PollInterval: 25 * time.Millisecond}
 }
 
-// Runner runs answers; it is safe for concurrent use.
+// Runner runs model requests; it is safe for concurrent use.
 type Runner struct {
 	Engine  pkengine.Engine
 	Router  Router
@@ -88,12 +88,12 @@
 	Quarantine pkquarantine.Table
 }
 
-// run is one answer in progress.
+// run is one request in progress.
 type run struct {
 	*Runner
 	req       Request
 	sink      Sink
-	watcher   Observer
+	observer  Observer
 	budget    RetryBudget
 	relay     pkstream.Relay
 	delivered strings.Builder
@@ -105,7 +105,7 @@
 // errCallerGone marks an error on the caller's side, after which no further attempt is made.
 var errCallerGone = errors.New("caller disconnected")
 
-// errQuarantined is the cause of the error for a request that crashed too many engines.
+// errQuarantined is returned for a quarantined request.
 var errQuarantined = errors.New("request quarantined: engines crashed while running it")
 
 // crashProbeTimeout limits the probe that checks whether an engine still runs after its stream
@@ -126,30 +126,30 @@
 	}
 }
 
-// Run runs an answer; the error is a *pkverdict.Error.
-func (r *Runner) Run(ctx context.Context, req Request, sink Sink, budget RetryBudget, watcher Observer) (Result, error) {
-	a := &run{Runner: r, req: req, sink: sink, budget: budget, watcher: watcher, verdict: pkverdict.NotRun}
+// Run runs a request and passes its tokens to sink; the error is a *pkverdict.Error.
+func (r *Runner) Run(ctx context.Context, req Request, sink Sink, budget RetryBudget, observer Observer) (Result, error) {
+	a := &run{Runner: r, req: req, sink: sink, budget: budget, observer: observer, verdict: pkverdict.NotRun}
 	for {
 		if r.Quarantine.Remaining(time.Now(), req.Digest) > 0 {
-			return a.finish(""), a.failure(pkverdict.ReasonQuarantined, errQuarantined)
+			return a.result(""), a.failure(pkverdict.ReasonQuarantined, errQuarantined)
 		}
 		chain, err := a.chooseChain(ctx)
 		if err != nil {
-			return a.finish(""), a.failure(pkverdict.ReasonNoRoute, err)
+			return a.result(""), a.failure(pkverdict.ReasonNoRoute, err)
 		}
 		reason, err := a.attempt(ctx, chain)
 		if err == nil {
 			r.Quarantine.RecordSuccess(time.Now(), req.Digest)
-			return a.finish(reason), nil
+			return a.result(reason), nil
 		}
 		if errors.Is(err, errCallerGone) || ctx.Err() != nil {
-			return a.finish(""), a.failure(reasonOf(ctx), err)
+			return a.result(""), a.failure(reasonOf(ctx), err)
 		}
 		if a.attempts >= r.Options.MaxAttempts {
-			return a.finish(""), a.failure(pkverdict.ReasonTargetLost, fmt.Errorf("gave up after %d attempts: %w", a.attempts, err))
+			return a.result(""), a.failure(pkverdict.ReasonTargetLost, fmt.Errorf("gave up after %d attempts: %w", a.attempts, err))
 		}
 		if !a.budget.Spend() {
-			return a.finish(""), a.failure(pkverdict.ReasonTargetLost, fmt.Errorf("retry budget of the pool exhausted: %w", err))
+			return a.result(""), a.failure(pkverdict.ReasonTargetLost, fmt.Errorf("retry budget of the pool exhausted: %w", err))
 		}
 	}
 }
@@ -164,7 +164,7 @@
 	return pkverdict.ReasonCanceled
 }
 
-func (a *run) finish(reason string) Result {
+func (a *run) result(reason string) Result {
 	return Result{FinishReason: reason, Tokens: pkid.Tokens(a.relay.Next()), Attempts: a.attempts}
 }
 
@@ -202,9 +202,9 @@
 		t.Begin()
 		defer t.Done()
 	}
-	ctx = a.watcher.AttemptBegan(ctx, attempt, chain)
+	ctx = a.observer.AttemptBegan(ctx, attempt, chain)
 	reason, err := a.stream(ctx, attempt, chain)
-	a.watcher.AttemptEnded(ctx, attempt, err)
+	a.observer.AttemptEnded(ctx, attempt, err)
 	if err != nil && !a.notRun(err) {
 		a.detectCrash(ctx, chain.Stages[0], startIndex)
 		a.Cancel(chain.Stages[0].Info.Addr, a.req.ID, attempt)
--- a/pkanswer/run_test.go
+++ b/pkanswer/run_test.go
@@ -38,14 +38,14 @@
 	stalls      fault = "stops sending"
 )
 
-// scriptedEngine fails each attempt as its script says.
+// scriptedEngine fails the nth attempt as script[n] defines.
 type scriptedEngine struct {
 	t      *testing.T
 	script []failure
 	// crashes makes the engine refuse connections after its streams have failed.
-	crashes   bool
-	opened    []pkengine.OpenRequest
-	cancelled []pkid.Attempt
+	crashes  bool
+	opened   []pkengine.OpenRequest
+	canceled []pkid.Attempt
 }
 
 type failure struct {
@@ -134,7 +134,7 @@
 	return pkengine.Event{Index: s.next - 1, Text: word(s.next - 1)}, nil
 }
 
-// earlyEnd returns the error of a connection that closes before the end event.
+// earlyEnd returns the error of a stream that is lost with an early end event.
 func (s *stream) earlyEnd() error { return lostError() }
 
 func (s *stream) Close() error { return nil }
@@ -157,20 +157,21 @@
 	return nil
 }
 
-// router returns two stages that were not tried yet, as in a pool with spare engines.
+// router returns chains of two stages; each avoided target selects the next spare chain, up to
+// spares.
 type router struct{ spares int }
 
 func (r *router) Choose(_ time.Time, _ pkroute.ChainSpec, avoid []pkid.TargetID) (pkroute.Chain, error) {
 	if len(avoid) > r.spares {
 		return pkroute.Chain{}, pkroute.ErrNoChain
 	}
-	return pkroute.Chain{Stages: []*pktarget.Target{stage(len(avoid), 0), stage(len(avoid), 1)}}, nil
+	return pkroute.Chain{Stages: []*pktarget.Target{newStage(len(avoid), 0), newStage(len(avoid), 1)}}, nil
 }
 
-func stage(try, place int) *pktarget.Target {
-	one := pktarget.NewTarget(pktarget.Info{ID: pkid.TargetID(fmt.Sprintf("%d-%d", try, place))})
-	one.SetHolding(pktarget.Holding{Range: pkid.Range{First: pkid.Layer(place), End: pkid.Layer(place + 1)}})
-	return one
+func newStage(chain, position int) *pktarget.Target {
+	target := pktarget.NewTarget(pktarget.Info{ID: pkid.TargetID(fmt.Sprintf("%d-%d", chain, position))})
+	target.SetHolding(pktarget.Holding{Range: pkid.Range{First: pkid.Layer(position), End: pkid.Layer(position + 1)}})
+	return target
 }
 
 type budget struct{ left int }
@@ -180,21 +181,21 @@
 	return b.left >= 0
 }
 
-type noopWatcher struct{}
+type noopObserver struct{}
 
-func (noopWatcher) AttemptBegan(ctx context.Context, _ pkid.Attempt, _ pkroute.Chain) context.Context {
+func (noopObserver) AttemptBegan(ctx context.Context, _ pkid.Attempt, _ pkroute.Chain) context.Context {
 	return ctx
 }
 
-func (noopWatcher) AttemptEnded(context.Context, pkid.Attempt, error) {}
+func (noopObserver) AttemptEnded(context.Context, pkid.Attempt, error) {}
 
 func runScript(t *testing.T, e *scriptedEngine, spares, retries int, out Sink) (Result, error) {
 	r := &Runner{Engine: e, Router: &router{spares: spares}, Options: DefaultOptions()}
-	r.Cancel = func(_ string, _ pkid.RequestID, attempt pkid.Attempt) { e.cancelled = append(e.cancelled, attempt) }
+	r.Cancel = func(_ string, _ pkid.RequestID, attempt pkid.Attempt) { e.canceled = append(e.canceled, attempt) }
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	req := Request{ID: "r", MaxTokens: answerTokens, PromptTokens: 3, Deadline: time.Now().Add(time.Minute)}
-	return r.Run(ctx, req, out, &budget{left: retries}, noopWatcher{})
+	return r.Run(ctx, req, out, &budget{left: retries}, noopObserver{})
 }
 
 func fullAnswer() string {
@@ -218,17 +219,17 @@
 					synctest.Test(t, func(t *testing.T) {
 						e := &scriptedEngine{t: t, script: []failure{{first, at}, {second, at}}}
 						out := &sink{}
-						finish, err := runScript(t, e, 5, 5, out)
+						result, err := runScript(t, e, 5, 5, out)
 						assert.NilError(t, err)
 						assert.Equal(t, out.text.String(), fullAnswer())
-						assert.Equal(t, finish.Tokens, pkid.Tokens(answerTokens))
+						assert.Equal(t, result.Tokens, pkid.Tokens(answerTokens))
 						assert.Assert(t, out.gap < 2*4*pkengine.HeartbeatInterval+200*time.Millisecond, out.gap)
 						for i, o := range e.opened[1:] {
 							assert.Assert(t, o.Attempt > e.opened[i].Attempt)
 							assert.Assert(t, o.Next >= e.opened[i].Next)
 							assert.Assert(t, strings.HasPrefix(fullAnswer(), o.Delivered))
 							if f := e.script[i].fault; f != refuses && f != unreachable {
-								assert.Assert(t, slices.Contains(e.cancelled, e.opened[i].Attempt))
+								assert.Assert(t, slices.Contains(e.canceled, e.opened[i].Attempt))
 							}
 						}
 					})
@@ -292,7 +293,7 @@
 				r := &Runner{Engine: e, Router: &router{spares: 9}, Options: DefaultOptions()}
 				r.Cancel = func(string, pkid.RequestID, pkid.Attempt) {}
 				req := Request{ID: "r", Digest: 7, MaxTokens: answerTokens, Deadline: time.Now().Add(time.Minute)}
-				_, err := r.Run(t.Context(), req, &sink{}, &budget{left: 99}, noopWatcher{})
+				_, err := r.Run(t.Context(), req, &sink{}, &budget{left: 99}, noopObserver{})
 				var failure *pkverdict.Error
 				assert.Assert(t, errors.As(err, &failure), err)
 				assert.Equal(t, failure.Reason, c.reason)
@@ -302,12 +303,12 @@
 				if c.reason != pkverdict.ReasonQuarantined {
 					return
 				}
-				_, err = r.Run(t.Context(), req, &sink{}, &budget{left: 99}, noopWatcher{})
+				_, err = r.Run(t.Context(), req, &sink{}, &budget{left: 99}, noopObserver{})
 				assert.Assert(t, errors.As(err, &failure), err)
 				assert.Equal(t, failure.Verdict, pkverdict.NotRun)
 				assert.Equal(t, len(e.opened), c.opened, "the same request again")
 				req.Digest, e.crashes, e.script = 8, false, nil
-				_, err = r.Run(t.Context(), req, &sink{}, &budget{left: 99}, noopWatcher{})
+				_, err = r.Run(t.Context(), req, &sink{}, &budget{left: 99}, noopObserver{})
 				assert.NilError(t, err, "another request")
 			})
 		})
@@ -321,7 +322,7 @@
 		_, err := runScript(t, e, 9, 9, brokenSink{})
 		assert.ErrorContains(t, err, "caller disconnected")
 		assert.Equal(t, len(e.opened), 1)
-		assert.DeepEqual(t, e.cancelled, []pkid.Attempt{1})
+		assert.DeepEqual(t, e.canceled, []pkid.Attempt{1})
 	})
 }
 
--- a/pkforward/events.go
+++ b/pkforward/events.go
@@ -22,8 +22,8 @@
 	ID string
 }
 
-// EventReader reads complete events from a stream of server-sent events. A target can fail in the middle
-// of an event, and the partial event must not be forwarded.
+// EventReader reads complete events from a stream of server-sent events. A target can fail in the
+// middle of an event, and the partial event must not be forwarded.
 type EventReader struct {
 	in  *bufio.Reader
 	raw []byte
--- a/pkforward/exchange.go
+++ b/pkforward/exchange.go
@@ -46,7 +46,7 @@
 
 // ResponseMeta is the metadata from the headers of a response.
 type ResponseMeta struct {
-	// ID is the request that the response names as its own.
+	// ID is the request ID in the response.
 	ID pkid.RequestID
 	// NotRun is set if the target did not run the request and never will.
 	NotRun bool
--- a/pkforward/sender.go
+++ b/pkforward/sender.go
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// Response is the head of a target's response, with the body still to be read; Close must be called.
+// Response is a target's response with its body unread; Close must be called.
 type Response struct {
 	ResponseMeta
 	Status int
@@ -57,9 +57,9 @@
 }
 
 // Close ends the exchange. If the body was not read to its end, the connection is closed as well.
-func (a *Response) Close() { _ = a.resp.Body.Close() }
+func (r *Response) Close() { _ = r.resp.Body.Close() }
 
-// errWrongRequest is the cause of the error for a response that names another request.
+// errWrongRequest is returned if a response carries the ID of another request.
 var errWrongRequest = errors.New("response has the id of another request")
 
 // Do sends a request to the target at addr and returns the head of its response. The error is a
@@ -80,38 +80,38 @@
 		}
 		return nil, &pkverdict.Error{Verdict: pkverdict.Decide(progress), Reason: reason, Err: err}
 	}
-	a := &Response{
+	response := &Response{
 		ResponseMeta: s.dialect.ParseResponse(resp.StatusCode, resp.Header),
 		Status:       resp.StatusCode, Header: resp.Header, Body: resp.Body, Length: resp.ContentLength,
 		resp: resp, conn: tracker.Conn(),
 	}
-	if a.ID != r.Meta.ID {
+	if response.ID != r.Meta.ID {
 		// A surplus response of a target is read as the response to the next request on the
 		// connection. Accepting it would give one caller the response of another.
-		a.closeConn()
+		response.closeConn()
 		return nil, &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: errWrongRequest}
 	}
-	if a.NotRun {
-		a.drain()
-		return a, &pkverdict.Error{Verdict: pkverdict.NotRun, Reason: pkverdict.ReasonRefused, Err: fmt.Errorf("status %d", a.Status)}
+	if response.NotRun {
+		response.drain()
+		return response, &pkverdict.Error{Verdict: pkverdict.NotRun, Reason: pkverdict.ReasonRefused, Err: fmt.Errorf("target did not run the request: status %d", response.Status)}
 	}
-	return a, nil
+	return response, nil
 }
 
 // closeConn closes the connection of a response, even if the body is empty and the connection is
 // back in the pool already.
-func (a *Response) closeConn() {
-	if a.conn != nil {
-		_ = a.conn.Close()
+func (r *Response) closeConn() {
+	if r.conn != nil {
+		_ = r.conn.Close()
 	}
-	a.Close()
+	r.Close()
 }
 
 // drain reads a short response to its end, so that its connection can be reused.
-func (a *Response) drain() {
+func (r *Response) drain() {
 	const limit = 4 << 10
-	_, _ = io.CopyN(io.Discard, a.Body, limit)
-	a.Close()
+	_, _ = io.CopyN(io.Discard, r.Body, limit)
+	r.Close()
 }
 
 func (s *Sender) request(ctx context.Context, addr string, r *Request, out SendOptions) (*http.Request, error) {
@@ -165,7 +165,7 @@
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 }
 
-// CopyHeaders copies all headers except hop-by-hop headers and those that Connection names.
+// CopyHeaders copies end-to-end headers, without hop-by-hop headers and those listed in Connection.
 func CopyHeaders(to, from http.Header) {
 	var connHeaders map[string]bool
 	for _, line := range from["Connection"] {
@@ -185,14 +185,14 @@
 
 // ReadAll reads a body of at most limit bytes; the error is a *pkverdict.Error with the verdict
 // that the request may have run.
-func (a *Response) ReadAll(limit int64) ([]byte, error) {
+func (r *Response) ReadAll(limit int64) ([]byte, error) {
 	var body []byte
 	var err error
-	if a.Length >= 0 && a.Length <= limit {
-		body = make([]byte, a.Length)
-		_, err = io.ReadFull(a.Body, body)
+	if r.Length >= 0 && r.Length <= limit {
+		body = make([]byte, r.Length)
+		_, err = io.ReadFull(r.Body, body)
 	} else {
-		body, err = io.ReadAll(io.LimitReader(a.Body, limit+1))
+		body, err = io.ReadAll(io.LimitReader(r.Body, limit+1))
 	}
 	if err == nil && int64(len(body)) > limit {
 		err = fmt.Errorf("response body exceeds %d bytes", limit)
--- a/pkforward/sender_test.go
+++ b/pkforward/sender_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestForwardDropsHopByHop(t *testing.T) {
+func TestCopyHeadersDropsHopByHop(t *testing.T) {
 	from := http.Header{
 		"Connection": {"close, X-Private"}, "X-Private": {"1"}, "Keep-Alive": {"5"}, "Transfer-Encoding": {"chunked"},
 		"Te": {"trailers"}, "Upgrade": {"h2c"}, "Content-Type": {"text/plain"}, "X-Two": {"a", "b"},
--- a/pkid/id.go
+++ b/pkid/id.go
@@ -56,7 +56,7 @@
 // Revision is the number of an accepted manifest; a higher one replaces a lower one.
 type Revision uint64
 
-// FencingToken is a fencing token: the store revision at which a lease was acquired.
+// FencingToken is the store revision at which a lease was acquired.
 type FencingToken uint64
 
 // Attempt is the number of an attempt of a request, starting at 1.
--- a/pkretry/budget.go
+++ b/pkretry/budget.go
@@ -18,18 +18,18 @@
 }
 
 const (
-	// slots is the number of slots in a window.
-	slots = 10
-	// keptSlots includes the slot before the window, whose retries count as well. Without it the
-	// window is up to one slot short, and two bursts almost a window apart could together exceed
-	// the limit.
-	keptSlots = slots + 1
-	// utilization is the share of the limit that is used. The remainder covers entries that others
-	// do not know yet, and requests and retries counted on different sides of a window boundary.
+	// bucketCount is the number of buckets in a window.
+	bucketCount = 10
+	// keptBuckets includes the bucket before the window, whose retries count as well. Without it
+	// the window is up to one bucket short, and two bursts almost a window apart could together
+	// exceed the limit.
+	keptBuckets = bucketCount + 1
+	// utilization is the share of the limit that is used. The remainder covers entries that have
+	// just joined, and requests and retries counted on different sides of a window boundary.
 	utilization = 0.85
 )
 
-type slotCounts struct {
+type bucket struct {
 	number   int64
 	requests float64
 	retries  float64
@@ -38,63 +38,63 @@
 // Budget counts the requests and retries of one service at one entry; the zero value is empty.
 type Budget struct {
 	mu sync.Mutex
-	// began is when the first slot began; slots are counted on the monotonic clock.
-	began time.Time
-	slots [keptSlots]slotCounts
+	// began is when the first bucket began; buckets are counted on the monotonic clock.
+	began   time.Time
+	buckets [keptBuckets]bucket
 }
 
 // RecordRequest counts a request to the service.
-func (b *Budget) RecordRequest(now time.Time, t Limits) {
+func (b *Budget) RecordRequest(now time.Time, l Limits) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.slot(now, t).requests++
+	b.bucket(now, l).requests++
 }
 
 // TryRetry counts a retry and reports whether the budget allows it.
-func (b *Budget) TryRetry(now time.Time, t Limits) bool {
+func (b *Budget) TryRetry(now time.Time, l Limits) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.allows(now, t, 1) {
+	if !b.allows(now, l, 1) {
 		return false
 	}
-	b.slot(now, t).retries++
+	b.bucket(now, l).retries++
 	return true
 }
 
 // HasRetries reports whether the budget allows the given number of retries at now, without counting
 // them.
-func (b *Budget) HasRetries(now time.Time, t Limits, retries int) bool {
+func (b *Budget) HasRetries(now time.Time, l Limits, retries int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.allows(now, t, retries)
+	return b.allows(now, l, retries)
 }
 
-func (b *Budget) allows(now time.Time, t Limits, n int) bool {
-	current := b.slot(now, t)
+func (b *Budget) allows(now time.Time, l Limits, n int) bool {
+	current := b.bucket(now, l)
 	requests, retries := 0.0, 0.0
-	for i := range b.slots {
-		age := current.number - b.slots[i].number
-		if age < slots {
-			requests += b.slots[i].requests
+	for i := range b.buckets {
+		age := current.number - b.buckets[i].number
+		if age < bucketCount {
+			requests += b.buckets[i].requests
 		}
-		if age < keptSlots {
-			retries += b.slots[i].retries
+		if age < keptBuckets {
+			retries += b.buckets[i].retries
 		}
 	}
-	return retries+float64(n) <= utilization*(t.Ratio*requests+t.Slack/float64(max(t.Entries, 1)))
+	return retries+float64(n) <= utilization*(l.Ratio*requests+l.Slack/float64(max(l.Entries, 1)))
 }
 
-// slot returns the counts of the current slot.
-func (b *Budget) slot(now time.Time, t Limits) *slotCounts {
-	length := max(t.Window/slots, time.Millisecond)
+// bucket returns the current bucket.
+func (b *Budget) bucket(now time.Time, l Limits) *bucket {
+	length := max(l.Window/bucketCount, time.Millisecond)
 	if b.began.IsZero() {
 		b.began = now
 	}
-	// Slots are numbered from one, since a zero slot is unused.
+	// Buckets are numbered from one, since a zero bucket is unused.
 	number := 1 + int64(max(now.Sub(b.began), 0)/length)
-	s := &b.slots[number%keptSlots]
-	if s.number != number {
-		*s = slotCounts{number: number}
+	current := &b.buckets[number%keptBuckets]
+	if current.number != number {
+		*current = bucket{number: number}
 	}
-	return s
+	return current
 }
--- a/pkretry/budget_test.go
+++ b/pkretry/budget_test.go
@@ -10,24 +10,24 @@
 
 func TestRetriesStayWithinLimitOfEachWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		terms := Limits{Ratio: 0.2, Slack: 40, Window: 10 * time.Second, Entries: rapid.IntRange(1, 8).Draw(t, "entries")}
+		limits := Limits{Ratio: 0.2, Slack: 40, Window: 10 * time.Second, Entries: rapid.IntRange(1, 8).Draw(t, "entries")}
 		var b Budget
 		now := time.Unix(1_000_000, 0)
 		var requests, retries []time.Time
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "request") {
-				b.RecordRequest(now, terms)
+				b.RecordRequest(now, limits)
 				requests = append(requests, now)
 				continue
 			}
-			if b.TryRetry(now, terms) {
+			if b.TryRetry(now, limits) {
 				retries = append(retries, now)
 			}
 			in := func(all []time.Time, ago time.Duration) float64 {
 				n := 0.0
 				for _, at := range all {
-					if age := now.Sub(at) - ago; 0 <= age && age < terms.Window {
+					if age := now.Sub(at) - ago; 0 <= age && age < limits.Window {
 						n++
 					}
 				}
@@ -35,8 +35,8 @@
 			}
 			// The bound uses the busiest of this window, the previous one and the one shifted by
 			// half a window.
-			most := max(in(requests, 0), in(requests, terms.Window/2), in(requests, terms.Window))
-			bound := terms.Ratio*most + terms.Slack/float64(terms.Entries)
+			most := max(in(requests, 0), in(requests, limits.Window/2), in(requests, limits.Window))
+			bound := limits.Ratio*most + limits.Slack/float64(limits.Entries)
 			if got := in(retries, 0); got > bound {
 				t.Fatalf("%v retries in a window, limit is %v", got, bound)
 			}
@@ -45,31 +45,31 @@
 }
 
 func TestRetriesAreAllowedAgainAfterWindow(t *testing.T) {
-	terms := Limits{Slack: 10, Window: 10 * time.Second}
+	limits := Limits{Slack: 10, Window: 10 * time.Second}
 	var b Budget
 	now := time.Unix(1_000_000, 0)
 	n := 0
-	for b.TryRetry(now, terms) {
+	for b.TryRetry(now, limits) {
 		n++
 	}
 	assert.Equal(t, n, 8)
-	assert.Assert(t, !b.TryRetry(now.Add(5*time.Second), terms))
-	assert.Assert(t, b.TryRetry(now.Add(11*time.Second), terms))
+	assert.Assert(t, !b.TryRetry(now.Add(5*time.Second), limits))
+	assert.Assert(t, b.TryRetry(now.Add(11*time.Second), limits))
 }
 
 // Two bursts of retries 9.5 s apart lie within one window of 10 s. Guards against a window that is
-// short by up to a slot, which would allow each burst the full limit.
+// short by up to a bucket, which would allow each burst the full limit.
 func TestBurstsInOneWindowShareLimit(t *testing.T) {
-	terms := Limits{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}
+	limits := Limits{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}
 	for begin := range 10 {
 		var b Budget
 		now := time.Unix(1000, 0)
-		b.RecordRequest(now, terms)
+		b.RecordRequest(now, limits)
 		now = now.Add(time.Duration(begin) * 100 * time.Millisecond)
 		spent := 0
 		for _, wait := range []time.Duration{0, 9500 * time.Millisecond} {
 			now = now.Add(wait)
-			for b.TryRetry(now, terms) {
+			for b.TryRetry(now, limits) {
 				spent++
 			}
 		}
--- a/pkverdict/verdict.go
+++ b/pkverdict/verdict.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// Verdict tells whether a request may have run on a target. The zero value is MayHaveRun, so that
-// an unset verdict guarantees nothing.
+// Verdict is whether a request may have run on a target. The zero value is MayHaveRun, so that an
+// unset verdict guarantees nothing.
 type Verdict uint8
 
 // Verdicts on a request.
@@ -77,12 +77,12 @@
 // Error is a failure with its verdict.
 type Error struct {
 	Verdict Verdict
-	// Reason is a short snake case identifier used in metrics and bodies.
+	// Reason is why the request failed.
 	Reason Reason
 	Err    error
 }
 
-// Reason is a short snake case identifier of why a request failed.
+// Reason is a short snake case identifier of why a request failed, used in metrics and bodies.
 type Reason string
 
 // Reasons reported to callers.
@@ -96,7 +96,7 @@
 	ReasonRefused     Reason = "refused"
 	ReasonStopping    Reason = "stopping"
 	ReasonCanceled    Reason = "canceled"
-	// ReasonQuarantined means that the request is quarantined because replicas have ended under it.
+	// ReasonQuarantined means that the request is quarantined because it crashed replicas.
 	ReasonQuarantined Reason = "quarantined"
 )
 
