--- a/pkforward/sender.go
+++ b/pkforward/sender.go
@@ -63,7 +63,7 @@
 var errWrongRequest = errors.New("response has the id of another request")
 
 // Do sends a request to the target at addr and returns the head of its response. The error is a
-// *pkverdict.Error. If the response says that the request did not run, Do returns both the head and
+// *pkverdict.Error. If the target did not run the request, Do returns both the head and
 // an error with the reason pkverdict.ReasonRefused.
 func (s *Sender) Do(ctx context.Context, addr string, r *Request, out SendOptions) (*Response, error) {
 	var tracker pkconn.Tracker
--- a/pkquarantine/case.go
+++ b/pkquarantine/case.go
@@ -84,9 +84,9 @@
 		if r.crashes[i].start != c.start {
 			continue
 		}
-		news := c.cleared && !r.crashes[i].cleared
+		changed := c.cleared && !r.crashes[i].cleared
 		r.crashes[i].cleared = r.crashes[i].cleared || c.cleared
-		return news
+		return changed
 	}
 	r.crashes = append(r.crashes, c)
 	slices.SortStableFunc(r.crashes, func(a, b crash) int { return b.at.Compare(a.at) })
--- a/pkquarantine/table.go
+++ b/pkquarantine/table.go
@@ -51,7 +51,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out CrashResult
-	out.New, out.Quarantined = t.merge(now, d, []crash{{start: s, at: now}})
+	out.New, out.Quarantined = t.addCrashes(now, d, []crash{{start: s, at: now}})
 	if r := t.cases[d]; r != nil {
 		out.Crashes, _ = r.countCrashes()
 	}
@@ -92,7 +92,7 @@
 	defer t.mu.Unlock()
 	var out []Digest
 	for _, c := range cases {
-		if _, quarantined := t.merge(now, c.Digest, validCrashes(now, c)); quarantined {
+		if _, quarantined := t.addCrashes(now, c.Digest, validCrashes(now, c)); quarantined {
 			out = append(out, c.Digest)
 		}
 	}
@@ -112,9 +112,9 @@
 	return out
 }
 
-// merge adds crashes to a case; it reports whether the case changed, and whether the request was
+// addCrashes adds crashes to a case; it reports whether the case changed, and whether the request was
 // newly quarantined.
-func (t *Table) merge(now time.Time, d Digest, crashes []crash) (changed, quarantined bool) {
+func (t *Table) addCrashes(now time.Time, d Digest, crashes []crash) (changed, quarantined bool) {
 	if d == 0 || len(crashes) == 0 {
 		return false, false
 	}
@@ -172,14 +172,14 @@
 // limitQuarantined drops the quarantined request with the lowest digest if there are too many. All
 // entries drop the same one and so do not keep sending it to each other.
 func (t *Table) limitQuarantined(now time.Time) {
-	quarantined := t.quarantined(now)
+	quarantined := t.quarantinedDigests(now)
 	if len(quarantined) > maxQuarantined {
 		delete(t.cases, quarantined[0])
 	}
 }
 
-// quarantined returns the sorted digests of the requests quarantined at now.
-func (t *Table) quarantined(now time.Time) []Digest {
+// quarantinedDigests returns the sorted digests of the requests quarantined at now.
+func (t *Table) quarantinedDigests(now time.Time) []Digest {
 	var out []Digest
 	for d, r := range t.cases {
 		if r.isQuarantined(now) {
@@ -206,7 +206,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	sum := Checksum(1)
-	for _, d := range t.quarantined(now) {
+	for _, d := range t.quarantinedDigests(now) {
 		sum ^= Checksum(d)
 	}
 	return max(sum, 1)
@@ -217,7 +217,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Case
-	for _, d := range t.quarantined(now) {
+	for _, d := range t.quarantinedDigests(now) {
 		out = append(out, t.cases[d].toCase(now, d))
 	}
 	return out
@@ -227,7 +227,7 @@
 func (t *Table) Counts(now time.Time) (quarantined, known int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.quarantined(now)), len(t.cases)
+	return len(t.quarantinedDigests(now)), len(t.cases)
 }
 
 // RecentChanges returns recently changed cases for one message, least often sent first, then those
--- a/pkreplica/target.go
+++ b/pkreplica/target.go
@@ -156,7 +156,7 @@
 	t.latency += time.Duration(latencyWeight * float64(took-t.latency))
 }
 
-// RecordSlow records a call that has had no answer for at least took.
+// RecordSlow records a call that has had no reply for at least took.
 func (t *Target) RecordSlow(took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkshare/delta.go
+++ b/pkshare/delta.go
@@ -22,21 +22,21 @@
 
 // update returns the loads that changed by more than the threshold, in order of target, and records
 // them as sent. A load of zero tokens removes one.
-func (t *sentLoads) update(current []Load, threshold Threshold) []Load {
-	if t.loads == nil {
-		t.loads = map[pkid.TargetID]Load{}
+func (s *sentLoads) update(current []Load, threshold Threshold) []Load {
+	if s.loads == nil {
+		s.loads = map[pkid.TargetID]Load{}
 	}
 	var changed []Load
 	seen := make(map[pkid.TargetID]bool, len(current))
 	for _, l := range current {
 		seen[l.Target] = true
-		old := t.loads[l.Target]
+		old := s.loads[l.Target]
 		change := math.Abs(float64(l.Tokens) - float64(old.Tokens))
 		if change > threshold(l.Target) || l.Born != old.Born {
 			changed = append(changed, l)
 		}
 	}
-	for id, old := range t.loads {
+	for id, old := range s.loads {
 		if !seen[id] {
 			changed = append(changed, Load{Target: id, Born: old.Born})
 		}
@@ -44,18 +44,18 @@
 	slices.SortFunc(changed, func(a, b Load) int { return cmp.Compare(a.Target, b.Target) })
 	for _, l := range changed {
 		if l.Tokens > 0 {
-			t.loads[l.Target] = l
+			s.loads[l.Target] = l
 		} else {
-			delete(t.loads, l.Target)
+			delete(s.loads, l.Target)
 		}
 	}
 	return changed
 }
 
 // all returns the loads that the receivers have, in order of target.
-func (t *sentLoads) all() []Load {
-	out := make([]Load, 0, len(t.loads))
-	for _, l := range t.loads {
+func (s *sentLoads) all() []Load {
+	out := make([]Load, 0, len(s.loads))
+	for _, l := range s.loads {
 		out = append(out, l)
 	}
 	slices.SortFunc(out, func(a, b Load) int { return cmp.Compare(a.Target, b.Target) })
--- a/pkshare/table.go
+++ b/pkshare/table.go
@@ -15,7 +15,7 @@
 
 const (
 	// Interval is the interval between messages. It is a small fraction of a request's duration,
-	// since entries with older load data would crowd on the same target.
+	// since entries with older load data would overload the same target.
 	Interval = 150 * time.Millisecond
 	// HeartbeatInterval is the heartbeat interval of an entry that has nothing new to send.
 	HeartbeatInterval = time.Second
@@ -53,9 +53,9 @@
 	// than this entry's; zero while it has none.
 	configBehindSince time.Time
 	listBehindSince   time.Time
-	// quarantineSum is the peer's checksum of quarantined requests, quarantineDiffersSince is when
+	// quarantineChecksum is the peer's checksum of quarantined requests, quarantineDiffersSince is when
 	// it was first seen to differ from this entry's.
-	quarantineSum          pkquarantine.Checksum
+	quarantineChecksum     pkquarantine.Checksum
 	quarantineDiffersSince time.Time
 	// configSentAt, listSentAt and quarantineSentAt are when the peer was last sent a catch-up.
 	configSentAt     time.Time
@@ -113,7 +113,7 @@
 	if m.Following && !p.following {
 		p.followingSince = now
 	}
-	p.following, p.members, p.quarantineSum = m.Following, m.Members, m.QuarantineChecksum
+	p.following, p.members, p.quarantineChecksum = m.Following, m.Members, m.QuarantineChecksum
 	p.sum, p.dataCenter, p.processorShare = m.Sum, m.DataCenter, float64(m.ProcessorShare)
 	return true
 }
@@ -229,7 +229,7 @@
 // for some time. A zero checksum comes from a build without quarantine, which must not be sent the
 // cases again and again.
 func (p *peer) quarantineDiffers(now time.Time, sum pkquarantine.Checksum) bool {
-	differs := p.quarantineSum != 0 && p.quarantineSum != sum
+	differs := p.quarantineChecksum != 0 && p.quarantineChecksum != sum
 	if !sustained(now, &p.quarantineDiffersSince, differs, catchUpDelay) || now.Sub(p.quarantineSentAt) < catchUpRetry {
 		return false
 	}
