--- a/pklayers/path_test.go
+++ b/pklayers/path_test.go
@@ -54,11 +54,11 @@
 			t.Fatalf("found: %v, every layer is held: %v", found, covered)
 		}
 		next, seen := pkid.Layer(0), map[pkid.TargetID]bool{}
-		for _, part := range p.Stages {
-			if part.Layers.First != next || seen[part.ID] {
+		for _, stage := range p.Stages {
+			if stage.Layers.First != next || seen[stage.ID] {
 				t.Fatalf("%v", p.Stages)
 			}
-			next, seen[part.ID] = part.Layers.End, true
+			next, seen[stage.ID] = stage.Layers.End, true
 		}
 		if found && next != layers {
 			t.Fatalf("%v", p.Stages)
--- a/pklayers/pool.go
+++ b/pklayers/pool.go
@@ -105,13 +105,13 @@
 
 // newLayoutMinCapacity returns the least capacity of any layer in a new layout, by group.
 func (p *pool) newLayoutMinCapacity() []int64 {
-	fresh := slices.Clone(p.engines)
-	layout := layOut(p.m, fresh)
-	for i := range fresh {
-		fresh[i].Held = layout[fresh[i].ID]
+	engines := slices.Clone(p.engines)
+	layout := layOut(p.m, engines)
+	for i := range engines {
+		engines[i].Held = layout[engines[i].ID]
 	}
 	out := make([]int64, len(p.groups))
-	for g, capacity := range newPool(p.m, fresh).byGroup {
+	for g, capacity := range newPool(p.m, engines).byGroup {
 		out[g] = slices.Min(capacity)
 	}
 	return out
--- a/pkpace/table.go
+++ b/pkpace/table.go
@@ -29,8 +29,8 @@
 	maxObservations = 256
 )
 
-// Observation is an observation of an engine's factor, as it is sent between entries. It carries an
-// age in place of a time, since the clocks of entries differ.
+// Observation is the observed factor of an engine, as sent between entries. It carries an age in
+// place of a time, since the clocks of entries differ.
 type Observation struct {
 	Target pkid.TargetID `cbor:"1,keyasint"`
 	Factor Factor        `cbor:"2,keyasint"`
--- a/pkquarantine/table.go
+++ b/pkquarantine/table.go
@@ -112,8 +112,8 @@
 	return out
 }
 
-// addCrashes adds crashes to a case; it reports whether the case changed, and whether the request was
-// newly quarantined.
+// addCrashes adds crashes to a case; it reports whether the case changed, and whether the request
+// was newly quarantined.
 func (t *Table) addCrashes(now time.Time, d Digest, crashes []crash) (changed, quarantined bool) {
 	if d == 0 || len(crashes) == 0 {
 		return false, false
--- a/pkquarantine/table_test.go
+++ b/pkquarantine/table_test.go
@@ -216,17 +216,17 @@
 // A case read from the store must be aged by the time since it was written; a clock that is ahead
 // must not make it younger.
 func TestStoredCaseIsAged(t *testing.T) {
-	var table, fresh Table
+	var table, restored Table
 	table.crashN(epoch, 7, CrashLimit)
 	saved := table.IsQuarantined(epoch)[0]
-	fresh.MergeCases(epoch, []Case{saved.Aged(time.Minute)})
-	assert.Equal(t, fresh.Remaining(epoch, 7), Period-time.Minute)
+	restored.MergeCases(epoch, []Case{saved.Aged(time.Minute)})
+	assert.Equal(t, restored.Remaining(epoch, 7), Period-time.Minute)
 	assert.DeepEqual(t, saved.Aged(-time.Minute), saved)
 	assert.Equal(t, len((&Table{}).MergeCases(epoch, []Case{saved.Aged(Period)})), 0, "its quarantine has ended")
 }
 
 // Measures one more crash in a full table, as after the loss of a data centre.
-func BenchmarkCrashedWithFullTable(b *testing.B) {
+func BenchmarkRecordCrashWithFullTable(b *testing.B) {
 	var table Table
 	for i := range maxCases {
 		table.RecordCrash(epoch, Digest(1+i), startN(i))
@@ -267,8 +267,8 @@
 			c.Crashes = append(c.Crashes, Crash{Start: StartID(start + i), AgoMS: agoMS, Cleared: cleared && i%2 == 0})
 		}
 		table.MergeCases(epoch, []Case{c, c.Aged(time.Duration(agoMS))})
-		left := table.Remaining(epoch, c.Digest)
-		assert.Assert(t, left >= 0 && left <= Period, "%v", left)
+		remaining := table.Remaining(epoch, c.Digest)
+		assert.Assert(t, remaining >= 0 && remaining <= Period, "%v", remaining)
 		quarantined, known := table.Counts(epoch)
 		assert.Assert(t, quarantined <= known && known <= 1)
 		for _, sent := range append(table.RecentChanges(epoch), table.IsQuarantined(epoch)...) {
--- a/pkreplica/roster_test.go
+++ b/pkreplica/roster_test.go
@@ -53,7 +53,7 @@
 	assert.Equal(t, r.LeavingFor(start.Add(time.Second), a), time.Second)
 }
 
-func TestDrainingTargetKeepsState(t *testing.T) {
+func TestLeavingTargetKeepsState(t *testing.T) {
 	var r Roster
 	r.Apply(start, []Record{record(1, "a")}, 1)
 	before, _ := r.Target("a")
--- a/pkshare/table.go
+++ b/pkshare/table.go
@@ -53,8 +53,8 @@
 	// than this entry's; zero while it has none.
 	configBehindSince time.Time
 	listBehindSince   time.Time
-	// quarantineChecksum is the peer's checksum of quarantined requests, quarantineDiffersSince is when
-	// it was first seen to differ from this entry's.
+	// quarantineChecksum is the peer's checksum of quarantined requests, quarantineDiffersSince is
+	// when it was first seen to differ from this entry's.
 	quarantineChecksum     pkquarantine.Checksum
 	quarantineDiffersSince time.Time
 	// configSentAt, listSentAt and quarantineSentAt are when the peer was last sent a catch-up.
@@ -154,8 +154,8 @@
 	return sum + missingRatio(reporting, members)*(sum+own)
 }
 
-// missingRatio returns the number of members that have sent nothing per member that has, with this
-// entry among the latter.
+// missingRatio returns the ratio of members that have sent nothing to members that are reporting,
+// with this entry among the latter.
 func missingRatio(reporting, members int) float64 {
 	return float64(max(members-1-reporting, 0)) / float64(1+reporting)
 }
--- a/pkverdict/verdict_test.go
+++ b/pkverdict/verdict_test.go
@@ -48,7 +48,7 @@
 	})
 }
 
-func TestMayRepeat(t *testing.T) {
+func TestMayRetry(t *testing.T) {
 	assert.Assert(t, NotRun.MayRetry(false))
 	assert.Assert(t, !MayHaveRun.MayRetry(false))
 	assert.Assert(t, MayHaveRun.MayRetry(true))
