--- a/pkquarantine/table.go
+++ b/pkquarantine/table.go
@@ -19,10 +19,10 @@
 	// data centre.
 	maxChanges = 6
 	// gossipPeriod is how long a changed case is sent: longer than three messages between hubs
-	// take. It bounds the control traffic after the loss of a data centre.
+	// take.
 	gossipPeriod = 2 * time.Second
-	// gossipCount is the number of messages in which a changed case is sent. With hubs, only every
-	// second message is sent on, to two hubs, and one of those may be lost.
+	// gossipCount is the number of messages in which a changed case is sent. Hubs forward only
+	// every second message, to two hubs, and one of those may be lost.
 	gossipCount = 4
 )
 
@@ -32,8 +32,8 @@
 	cases map[Digest]*record
 }
 
-// Checksum is a checksum of the quarantined requests, used by entries to detect that their sets differ;
-// zero means none.
+// Checksum is a checksum of the quarantined requests, used by entries to detect that their sets
+// differ; zero means none.
 type Checksum uint64
 
 // CrashResult is the result of recording a crash.
@@ -46,12 +46,12 @@
 	Quarantined bool
 }
 
-// RecordCrash records that a replica ended under a request at now.
+// RecordCrash records that a replica crashed while running a request at now.
 func (t *Table) RecordCrash(now time.Time, d Digest, s StartID) CrashResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out CrashResult
-	out.New, out.Quarantined = t.merge(now, d, []crash{{start: s, at: now}})
+	out.New, out.Quarantined = t.addCrashes(now, d, []crash{{start: s, at: now}})
 	if r := t.cases[d]; r != nil {
 		out.Crashes, _ = r.countCrashes()
 	}
@@ -65,7 +65,8 @@
 	return t.cases[d] != nil
 }
 
-// RecordSuccess records that a request ran successfully at now and reports whether that cleared a case.
+// RecordSuccess records that a request ran successfully at now and reports whether that cleared a
+// case.
 func (t *Table) RecordSuccess(now time.Time, d Digest) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -84,13 +85,14 @@
 	return true
 }
 
-// MergeCases merges the cases of another entry and returns the requests that this newly quarantined.
+// MergeCases merges the cases of another entry and returns the requests that this newly
+// quarantined.
 func (t *Table) MergeCases(now time.Time, cases []Case) []Digest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Digest
 	for _, c := range cases {
-		if _, quarantined := t.merge(now, c.Digest, validCrashes(now, c)); quarantined {
+		if _, quarantined := t.addCrashes(now, c.Digest, validCrashes(now, c)); quarantined {
 			out = append(out, c.Digest)
 		}
 	}
@@ -110,9 +112,9 @@
 	return out
 }
 
-// merge adds crashes to a case; it reports whether the case changed, and whether the request was
-// newly quarantined.
-func (t *Table) merge(now time.Time, d Digest, crashes []crash) (changed, quarantined bool) {
+// addCrashes adds crashes to a case; it reports whether the case changed, and whether the request
+// was newly quarantined.
+func (t *Table) addCrashes(now time.Time, d Digest, crashes []crash) (changed, quarantined bool) {
 	if d == 0 || len(crashes) == 0 {
 		return false, false
 	}
@@ -170,14 +172,14 @@
 // limitQuarantined drops the quarantined request with the lowest digest if there are too many. All
 // entries drop the same one and so do not keep sending it to each other.
 func (t *Table) limitQuarantined(now time.Time) {
-	quarantined := t.quarantined(now)
+	quarantined := t.quarantinedDigests(now)
 	if len(quarantined) > maxQuarantined {
 		delete(t.cases, quarantined[0])
 	}
 }
 
-// quarantined returns the sorted digests of the requests quarantined at now.
-func (t *Table) quarantined(now time.Time) []Digest {
+// quarantinedDigests returns the sorted digests of the requests quarantined at now.
+func (t *Table) quarantinedDigests(now time.Time) []Digest {
 	var out []Digest
 	for d, r := range t.cases {
 		if r.isQuarantined(now) {
@@ -204,7 +206,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	sum := Checksum(1)
-	for _, d := range t.quarantined(now) {
+	for _, d := range t.quarantinedDigests(now) {
 		sum ^= Checksum(d)
 	}
 	return max(sum, 1)
@@ -215,7 +217,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Case
-	for _, d := range t.quarantined(now) {
+	for _, d := range t.quarantinedDigests(now) {
 		out = append(out, t.cases[d].toCase(now, d))
 	}
 	return out
@@ -225,12 +227,12 @@
 func (t *Table) Counts(now time.Time) (quarantined, known int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.quarantined(now)), len(t.cases)
+	return len(t.quarantinedDigests(now)), len(t.cases)
 }
 
-// RecentChanges returns recently changed cases for one message, least often sent first, then those with the
-// most crashes, then the latest to change. Ordering by the send count first ensures that every case
-// is sent; otherwise the same cases would fill each message.
+// RecentChanges returns recently changed cases for one message, least often sent first, then those
+// with the most crashes, then the latest to change. Ordering by the send count first ensures that
+// every case is sent; otherwise the same cases would fill each message.
 func (t *Table) RecentChanges(now time.Time) []Case {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkquarantine/table_test.go
+++ b/pkquarantine/table_test.go
@@ -15,7 +15,7 @@
 
 func startN(n int) StartID { return StartIDOf(pkid.TargetID(fmt.Sprintf("i-%d", n)), 0) }
 
-// crashN records the end of n different replicas under a request at once.
+// crashN records the crashes of n different replicas that ran a request at once.
 func (t *Table) crashN(now time.Time, d Digest, n int) {
 	for i := range n {
 		t.RecordCrash(now, d, startN(i))
@@ -144,10 +144,10 @@
 	quarantined, known := table.Counts(now)
 	assert.Equal(t, quarantined, 1)
 	assert.Equal(t, known, maxCases)
-	news := table.RecentChanges(now)
-	assert.Equal(t, len(news), maxChanges)
-	assert.Equal(t, news[0].Digest, Digest(7))
-	assert.Equal(t, news[1].Digest, Digest(8))
+	changes := table.RecentChanges(now)
+	assert.Equal(t, len(changes), maxChanges)
+	assert.Equal(t, changes[0].Digest, Digest(7))
+	assert.Equal(t, changes[1].Digest, Digest(8))
 	table.RecordCrash(now, 8, startN(99))
 	assert.Equal(t, table.Remaining(now, 8), Period)
 }
@@ -216,17 +216,17 @@
 // A case read from the store must be aged by the time since it was written; a clock that is ahead
 // must not make it younger.
 func TestStoredCaseIsAged(t *testing.T) {
-	var table, fresh Table
+	var table, restored Table
 	table.crashN(epoch, 7, CrashLimit)
 	saved := table.IsQuarantined(epoch)[0]
-	fresh.MergeCases(epoch, []Case{saved.Aged(time.Minute)})
-	assert.Equal(t, fresh.Remaining(epoch, 7), Period-time.Minute)
+	restored.MergeCases(epoch, []Case{saved.Aged(time.Minute)})
+	assert.Equal(t, restored.Remaining(epoch, 7), Period-time.Minute)
 	assert.DeepEqual(t, saved.Aged(-time.Minute), saved)
 	assert.Equal(t, len((&Table{}).MergeCases(epoch, []Case{saved.Aged(Period)})), 0, "its quarantine has ended")
 }
 
 // Measures one more crash in a full table, as after the loss of a data centre.
-func BenchmarkCrashedWithFullTable(b *testing.B) {
+func BenchmarkRecordCrashWithFullTable(b *testing.B) {
 	var table Table
 	for i := range maxCases {
 		table.RecordCrash(epoch, Digest(1+i), startN(i))
@@ -237,7 +237,7 @@
 	}
 }
 
-func BenchmarkNewsOfFullTable(b *testing.B) {
+func BenchmarkRecentChangesOfFullTable(b *testing.B) {
 	var table Table
 	for i := range maxCases {
 		table.RecordCrash(epoch, Digest(1+i), startN(i))
@@ -249,14 +249,14 @@
 }
 
 func BenchmarkDigest(b *testing.B) {
-	one := Identity{Account: "account", Method: "POST", Host: "host.example", URI: "/path/1", Body: make([]byte, 800)}
+	identity := Identity{Account: "account", Method: "POST", Host: "host.example", URI: "/path/1", Body: make([]byte, 800)}
 	for b.Loop() {
-		one.Digest()
+		identity.Digest()
 	}
 }
 
-// Cases from peers or the store may be malformed.
-func FuzzLearn(f *testing.F) {
+// Guards against malformed cases from peers that quarantine a request for longer than Period.
+func FuzzMergeCases(f *testing.F) {
 	f.Add(uint64(7), uint64(1), int64(0), false, uint8(3))
 	f.Add(uint64(0), uint64(0), int64(-1), true, uint8(200))
 	f.Add(uint64(9), uint64(1<<63), int64(1<<62), false, uint8(9))
@@ -267,8 +267,8 @@
 			c.Crashes = append(c.Crashes, Crash{Start: StartID(start + i), AgoMS: agoMS, Cleared: cleared && i%2 == 0})
 		}
 		table.MergeCases(epoch, []Case{c, c.Aged(time.Duration(agoMS))})
-		left := table.Remaining(epoch, c.Digest)
-		assert.Assert(t, left >= 0 && left <= Period, "%v", left)
+		remaining := table.Remaining(epoch, c.Digest)
+		assert.Assert(t, remaining >= 0 && remaining <= Period, "%v", remaining)
 		quarantined, known := table.Counts(epoch)
 		assert.Assert(t, quarantined <= known && known <= 1)
 		for _, sent := range append(table.RecentChanges(epoch), table.IsQuarantined(epoch)...) {
