--- a/pkedge/choose.go
+++ b/pkedge/choose.go
@@ -131,7 +131,7 @@
 		pair := [2]pkid.DataCenter{a, b}
 		cost, found := cache[pair]
 		if !found {
-			own := d.pipes.InFlight(now, a, b)
+			own := d.pipes.OwnTokens(now, a, b)
 			cost = m.Delay(a, b) + m.LinkCost(own+d.gossip.table.Flow(now, entries, a, b, own))
 			unreported := unreportedPromptRate * d.gossip.reportDelay().Seconds()
 			cost += time.Duration(unreported * float64(m.TransferTime(float64(m.PromptTokens))))
--- a/pkedge/gossip.go
+++ b/pkedge/gossip.go
@@ -298,7 +298,7 @@
 			continue
 		}
 		m.Suspects = append(m.Suspects, pkshare.Suspect{
-			Target: id, RemainingMS: left.Milliseconds(), Gone: one.fault == faultGone, Misplaced: one.fault == faultMisplaced,
+			Target: id, RemainingMS: left.Milliseconds(), Gone: one.fault == faultGone, StaleRecord: one.fault == faultMisplaced,
 			Born: one.born, RecordRevision: one.entry,
 		})
 	}
--- a/pkedge/metrics.go
+++ b/pkedge/metrics.go
@@ -54,7 +54,7 @@
 		}),
 		gauge("peridotknot_list_revision", "Revision that the list of replicas is known up to, within the store's era.", func() float64 { return float64(d.roster.At().Number()) }),
 		gauge("peridotknot_store_era", "Era of the store that the list of replicas is known of; it rises when the store comes back from an older copy.", func() float64 { return float64(d.roster.At().Era()) }),
-		gauge("peridotknot_peers", "Other entries that are heard of.", func() float64 { return float64(d.gossip.table.LivePeers(time.Now())) }),
+		gauge("peridotknot_peers", "Other entries that are heard of.", func() float64 { return float64(d.gossip.table.LivePeerCount(time.Now())) }),
 		gauge("peridotknot_members", "Entries that share what is bounded over all.", func() float64 { return float64(d.entryCount(time.Now())) }),
 		gauge("peridotknot_targets_avoided", "Targets that are passed over for failures.", func() float64 { return float64(d.avoided(time.Now())) }),
 		gauge("peridotknot_slow_engines", "Engines that are slower than their kind.", func() float64 { return float64(d.paces.Slow(time.Now())) }),
--- a/pkedge/suspect.go
+++ b/pkedge/suspect.go
@@ -168,7 +168,7 @@
 	switch {
 	case report.Gone:
 		s.fault = faultGone
-	case report.Misplaced:
+	case report.StaleRecord:
 		s.fault = faultMisplaced
 	}
 	if d.roster.Restarted(report.Target, report.Born) {
@@ -180,7 +180,7 @@
 		}
 		if !t.IsDead(now) {
 			d.log.Info("target suspected on a report from a peer", "target", t.ID, "peer", from, "gone", report.Gone,
-				"misplaced", report.Misplaced, "born", report.Born, "for_ms", report.RemainingMS)
+				"misplaced", report.StaleRecord, "born", report.Born, "for_ms", report.RemainingMS)
 		}
 		d.applySuspicion(t, s)
 	}
--- a/pklayers/link_usage.go
+++ b/pklayers/link_usage.go
@@ -82,8 +82,8 @@
 	return out
 }
 
-// InFlight returns the tokens that this entry has in flight between two data centres.
-func (u *LinkUsage) InFlight(now time.Time, a, b pkid.DataCenter) float64 {
+// OwnTokens returns the tokens that this entry has in flight between two data centres.
+func (u *LinkUsage) OwnTokens(now time.Time, a, b pkid.DataCenter) float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.links[pairOf(a, b)].decayed(now)
--- a/pkshare/message.go
+++ b/pkshare/message.go
@@ -87,8 +87,8 @@
 	Gone bool `cbor:"3,keyasint,omitempty"`
 	// Born is the start of the target that was found faulty, where it is known.
 	Born pkid.StartTime `cbor:"4,keyasint,omitempty"`
-	// Misplaced says that the target does not hold what its record in the replica list says at the
+	// StaleRecord says that the target does not hold what its record in the replica list says at the
 	// revision below; a later record is trusted again.
-	Misplaced      bool             `cbor:"5,keyasint,omitempty"`
+	StaleRecord    bool             `cbor:"5,keyasint,omitempty"`
 	RecordRevision pkstore.Revision `cbor:"6,keyasint,omitempty"`
 }
--- a/pkshare/table.go
+++ b/pkshare/table.go
@@ -160,8 +160,8 @@
 	return float64(max(members-1-heard, 0)) / float64(1+heard)
 }
 
-// LivePeers returns the number of entries whose last message is not stale.
-func (t *Table) LivePeers(now time.Time) int {
+// LivePeerCount returns the number of entries whose last message is not stale.
+func (t *Table) LivePeerCount(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
