--- a/pkedge/attempt.go
+++ b/pkedge/attempt.go
@@ -20,8 +20,8 @@
 	drainDelayMax = 1600 * time.Millisecond
 	// rerouteRetryDelay is how long a stream waits after a failed reroute before it tries again.
 	rerouteRetryDelay = 200 * time.Millisecond
-	// pauseWeight is the weight of the latest pause in a stream's moving average.
-	pauseWeight = 0.2
+	// gapWeight is the weight of the latest gap in a stream's moving average.
+	gapWeight = 0.2
 	// refusalWindow is the time within which an engine refuses a request on behalf of a later one
 	// on its path. Engines need longer than that to start a request.
 	refusalWindow = 30 * time.Millisecond
@@ -41,7 +41,7 @@
 	mu          sync.Mutex
 	path        targetPath
 	lastEventAt time.Time
-	meanPause   time.Duration
+	meanGap     time.Duration
 	// events counts the events of this attempt; proven is set once it has run for provenAfter, and
 	// reroutes counts its path changes.
 	events       int
@@ -67,7 +67,7 @@
 		canRetry:   c.route.Retryable() && c.runs+1 < c.route.MaxAttempts,
 		drainDelay: drainDelayMin + rand.N(drainDelayMax-drainDelayMin),
 	}
-	p.reserve(now, s.Engine, &c.pipes, a.tokens, float64(c.req.Meta.PromptTokens), c.gossip.reportDelay())
+	p.reserve(now, s.Engine, &c.linkUsage, a.tokens, float64(c.req.Meta.PromptTokens), c.gossip.reportDelay())
 	c.streams.add(a)
 	return a
 }
@@ -90,11 +90,11 @@
 		a.firstEventAt = now
 	}
 	if a.events > 0 {
-		pause := now.Sub(a.lastEventAt)
-		if a.meanPause == 0 {
-			a.meanPause = pause
+		gap := now.Sub(a.lastEventAt)
+		if a.meanGap == 0 {
+			a.meanGap = gap
 		}
-		a.meanPause += time.Duration(pauseWeight * float64(pause-a.meanPause))
+		a.meanGap += time.Duration(gapWeight * float64(gap-a.meanGap))
 	}
 	a.events++
 	a.lastEventAt = now
@@ -103,19 +103,19 @@
 	return a.proven && !before
 }
 
-// recordFailure suspects the request of an attempt that ended at now with an error, unless the
+// recordFailure records at now that the attempt's send was interrupted by an error, unless the
 // attempt was proven.
 func (a *attempt) recordFailure(now time.Time, err error) {
 	if a.isProven() {
 		return
 	}
-	a.call.suspectFailedSend(now, err, a.currentPath().first())
+	a.call.recordIfInterrupted(now, err, a.currentPath().first())
 }
 
-// recordEngineDeath suspects the request of an attempt with a dead engine on its path, unless the
-// attempt was proven, and reports whether the request is quarantined. The first engine is left out,
-// since the outcome of the send tells whether it may have run the request. So is a request sent
-// less than refusalWindow ago, which the engine may have refused.
+// recordEngineDeath records that the attempt's send was interrupted at a dead engine of its path,
+// unless the attempt was proven, and reports whether the request is quarantined. The first engine
+// is not considered: the result of the send covers it. Nor is a request sent less than
+// refusalWindow ago, which the engine may have refused.
 func (a *attempt) recordEngineDeath(now time.Time, t *pkreplica.Target, reason string) bool {
 	if reason != reasonDead || a.isProven() {
 		return false
@@ -150,17 +150,16 @@
 	return a.path
 }
 
-// flow returns the attempt as input for the search for stalled engines; the result is false for an
-// attempt that passes no engine.
-func (a *attempt) flow() (pkstall.Stream, bool) {
+// stallInput returns the attempt as input for stall detection, and false if it passes no engine.
+func (a *attempt) stallInput() (pkstall.Stream, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.flowLocked(), len(a.path.hops) > 0
+	return a.stallInputLocked(), len(a.path.hops) > 0
 }
 
-func (a *attempt) flowLocked() pkstall.Stream {
+func (a *attempt) stallInputLocked() pkstall.Stream {
 	return pkstall.Stream{
-		Path: a.path.targetIDs(), Started: a.events > 0, LastProgress: a.lastEventAt, MeanGap: a.meanPause,
+		Path: a.path.targetIDs(), Started: a.events > 0, LastProgress: a.lastEventAt, MeanGap: a.meanGap,
 		MaxGap: a.call.route.GapObjective, MaxFirstWait: a.call.route.LatencyObjective,
 	}
 }
@@ -172,7 +171,7 @@
 	if a.rerouting || a.ended || (a.reroutes >= maxReroutes && !a.canRetry) || now.Before(a.rerouteNotBefore) {
 		return nil, ""
 	}
-	silent := a.flowLocked().Silent(now)
+	silent := a.stallInputLocked().Silent(now)
 	for i, t := range a.path.targets {
 		latest, found := a.call.roster.Target(t.ID)
 		switch {
@@ -190,13 +189,13 @@
 // prefersInPlace reports whether an attempt should change its path in place rather than be sent
 // again: it has no retry left, or a dead engine has a local replacement.
 func (a *attempt) prefersInPlace(now time.Time, t *pkreplica.Target, by targetPath, reason string) bool {
-	return !a.canRetry || (reason == reasonDead && a.isLocalDetour(now, t, by))
+	return !a.canRetry || (reason == reasonDead && a.isLocalReplacement(now, t, by))
 }
 
-// isLocalDetour reports whether a detour stays in the data centre of the dead engine that it
-// replaces and no other engine of the path is dead. A remote detour would transfer all tokens so
-// far through a pipe, there and back.
-func (a *attempt) isLocalDetour(now time.Time, dead *pkreplica.Target, by targetPath) bool {
+// isLocalReplacement reports whether the replacement of a dead engine is in its data centre and no
+// other engine of the path is dead. A remote replacement would transfer all tokens so far over a
+// link between data centres twice.
+func (a *attempt) isLocalReplacement(now time.Time, dead *pkreplica.Target, by targetPath) bool {
 	for _, t := range by.targets {
 		if t.DataCenter != dead.DataCenter {
 			return false
--- a/pkedge/breaker.go
+++ b/pkedge/breaker.go
@@ -9,10 +9,8 @@
 
 const (
 	// backoffBase and backoffMax bound the backoff after failed calls to the store, which grows by
-	// backoffFactor and is jittered so that daemons don't return all at once. The first delay
-	// covers a closed connection, the second, of a second, a call that the store refused. It may
-	// grow long, since a successful lease renewal ends it: renewals go on meanwhile, at a tenth of
-	// the cost of other calls.
+	// backoffFactor and is jittered so that daemons don't return all at once. backoffMax may be
+	// long, since lease renewals go on meanwhile and a successful one ends the backoff.
 	backoffBase   = 50 * time.Millisecond
 	backoffMax    = 10 * time.Second
 	backoffFactor = 20
@@ -54,9 +52,9 @@
 	}
 }
 
-// tryAcquire returns a wait of zero if the calling loop may call the store at now, with an open
-// breaker as the trial call. Otherwise it returns how long to wait and the channels that end the
-// wait early.
+// tryAcquire returns zero if the caller may call the store at now; if the breaker is open, that
+// call is the trial call. Otherwise it returns how long to wait and the channels that end the wait
+// early.
 func (b *breaker) tryAcquire(now time.Time) (wait time.Duration, recovered, retryNow <-chan struct{}) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkedge/broadcast.go
+++ b/pkedge/broadcast.go
@@ -8,8 +8,8 @@
 	"peridotknot.example/pkshare"
 )
 
-// broadcast enqueues a message at all links if it has changed, or if a message between hubs is due.
-// State that a single receiver lacks is added to its message.
+// broadcast enqueues a message at all peer links if it has changed, or if a message between hubs is
+// due. State that a single receiver lacks is added to its message.
 func (d *Daemon) broadcast(now time.Time, m pkshare.Message, due, changed bool) {
 	s := &d.gossip
 	sums := d.sums(now, m, due)
@@ -21,18 +21,18 @@
 		ids[one.Addr] = one.ID
 	}
 	encoded := map[messageForm][]byte{}
-	for addr, l := range s.links {
-		connected := l.connected.Swap(false)
-		if connected {
+	for addr, l := range s.peerLinks {
+		newConn := l.newConn.Swap(false)
+		if newConn {
 			s.table.Reconnected(ids[addr])
 		}
-		form := messageForm{role: l.role, complete: connected || l.incomplete}
+		form := messageForm{role: l.role, full: newConn || l.incomplete}
 		out := sums.message(m, form)
-		extended := d.addMissing(now, &out, ids[addr], l.role)
+		extended := d.addCatchUp(now, &out, ids[addr], l.role)
 		switch {
 		case extended:
 			l.enqueue(d.encode(out))
-		case changed || connected || (due && l.role != pkshare.Peer):
+		case changed || newConn || (due && l.role != pkshare.Peer):
 			if encoded[form] == nil {
 				encoded[form] = d.encode(out)
 			}
@@ -41,18 +41,19 @@
 	}
 }
 
-// messageForm is a form of a message: for a role, and with complete sums or their changes only.
+// messageForm selects the variant of a message for a peer link: by the peer's role, and with full
+// sums or only their changes.
 type messageForm struct {
-	role     pkshare.Role
-	complete bool
+	role pkshare.Role
+	full bool
 }
 
 // hubSums are the sums of loads, by role, that are sent in place of an entry's own loads; empty
 // without hubs.
 type hubSums map[pkshare.Role]pkshare.SumUpdate
 
-// loadThresholdShare is the share of a target's request memory by which its load must change to be
-// sent by hubs. It equals a few usual requests and is below the error of their estimated lengths.
+// loadThresholdShare is the share of a target's KV-cache capacity by which its load must change to
+// be sent by hubs.
 const loadThresholdShare = 0.04
 
 // sums returns the sums to send at now: new ones if they are due, or else the previous ones.
@@ -61,9 +62,9 @@
 	if !s.withHubs.Load() || !s.sendsSums() {
 		return nil
 	}
-	near, all := s.table.Sums(now, m)
+	local, global := s.table.Sums(now, m)
 	out := hubSums{}
-	for role, sum := range map[pkshare.Role]pkshare.Sum{pkshare.Spoke: all, pkshare.RemoteHub: near} {
+	for role, sum := range map[pkshare.Role]pkshare.Sum{pkshare.Spoke: global, pkshare.RemoteHub: local} {
 		if due {
 			out[role] = s.table.NextUpdate(role, sum, d.loadThreshold)
 		} else {
@@ -73,9 +74,9 @@
 	return out
 }
 
-// sendsSums reports whether there is a link with a role that receives sums.
+// sendsSums reports whether there is a peer link with a role that receives sums.
 func (s *gossip) sendsSums() bool {
-	for _, l := range s.links {
+	for _, l := range s.peerLinks {
 		if l.role != pkshare.Peer {
 			return true
 		}
@@ -90,7 +91,7 @@
 		return m
 	}
 	m.Loads, m.Flows, m.Sum = nil, nil, &sum.Delta
-	if form.complete {
+	if form.full {
 		m.Sum = &sum.Full
 	}
 	return m
@@ -99,7 +100,7 @@
 // loadThreshold returns the change of a target's load from which on hubs send it.
 func (d *Daemon) loadThreshold(id pkid.TargetID) float64 {
 	t, found := d.roster.Target(id)
-	table := d.book.Table()
+	table := d.configs.Table()
 	if !found || table == nil {
 		return 0
 	}
--- a/pkedge/call.go
+++ b/pkedge/call.go
@@ -48,10 +48,10 @@
 	path       string
 	firstEvent time.Duration
 	events     int
-	// lastEventAt is when the last event was sent, longestPause the longest time between two
+	// lastEventAt is when the last event was sent, longestGap the longest time between two
 	// events.
-	lastEventAt  time.Time
-	longestPause time.Duration
+	lastEventAt time.Time
+	longestGap  time.Duration
 	// reroutes counts the path changes of all attempts.
 	reroutes int
 }
@@ -89,7 +89,7 @@
 	}
 	c.metrics.requests.WithLabelValues(kind, outcome).Inc()
 	c.log.Info("request", "request_id", c.req.Meta.ID, "digest", c.digest.String(), "route", name, "kind", kind, "account", c.account,
-		"outcome", outcome, "sends", c.sends, "runs", c.runs, "ms", took.Milliseconds(), "config", c.version(), "path", c.path, "first_ms", c.firstEvent.Milliseconds(), "events", c.events, "pause_ms", c.longestPause.Milliseconds(),
+		"outcome", outcome, "sends", c.sends, "runs", c.runs, "ms", took.Milliseconds(), "config", c.version(), "path", c.path, "first_ms", c.firstEvent.Milliseconds(), "events", c.events, "pause_ms", c.longestGap.Milliseconds(),
 		"mended", c.reroutes, "error", err)
 	switch {
 	case err == nil:
@@ -203,7 +203,7 @@
 	case late:
 		return &rejection{status: http.StatusGatewayTimeout, reason: "deadline"}
 	default:
-		c.log.Warn("request failed at its targets", "request_id", c.req.Meta.ID, "error", cause)
+		c.log.Warn("request failed at its targets, answered with 502", "request_id", c.req.Meta.ID, "error", cause)
 		return &rejection{status: http.StatusBadGateway, reason: "target_lost"}
 	}
 }
--- a/pkedge/callerserver.go
+++ b/pkedge/callerserver.go
@@ -50,7 +50,7 @@
 		return nil
 	}
 	limits := defaultLimits
-	if table := s.d.book.Table(); table != nil {
+	if table := s.d.configs.Table(); table != nil {
 		limits = table.Limits
 	}
 	s.mu.Lock()
@@ -94,7 +94,7 @@
 	d := s.d
 	d.active.Add(1)
 	defer d.active.Add(-1)
-	c := &call{Daemon: d, w: w, r: r, began: time.Now(), table: d.book.Table()}
+	c := &call{Daemon: d, w: w, r: r, began: time.Now(), table: d.configs.Table()}
 	h := w.Header()
 	// Keeps net/http from adding headers that the target did not send.
 	h["Date"] = nil
@@ -130,22 +130,21 @@
 	}
 	ctx, cancel := context.WithDeadline(c.r.Context(), c.deadline)
 	defer cancel()
-	c.budgets.of(c.service).RecordRequest(c.began, c.retryTerms())
+	c.budgets.of(c.service).RecordRequest(c.began, c.retryLimits())
 	s, found := c.table.Service(c.service)
 	if !found {
 		s = &pkconfig.Service{ID: c.service}
 	}
 	if s.Engine != nil || c.route.Kind == pkconfig.Stream {
-		return c.stream(ctx, s)
+		return c.serveStream(ctx, s)
 	}
-	return c.plain(ctx)
+	return c.servePlain(ctx)
 }
 
 const (
-	// retryAfterFailure is the time to retry for callers whose targets refused or could not be
-	// reached: failed targets are avoided by then.
+	// retryAfterFailure is the Retry-After delay if all targets refused or could not be reached:
+	// failed targets are avoided by then.
 	retryAfterFailure = 500 * time.Millisecond
-	// retryAfterTimeout is the time to retry for callers whose deadline passed before their request
-	// ran.
+	// retryAfterTimeout is the Retry-After delay if the deadline passed before the request ran.
 	retryAfterTimeout = time.Second
 )
--- a/pkedge/choose.go
+++ b/pkedge/choose.go
@@ -12,26 +12,25 @@
 )
 
 const (
-	// maxMemoryShare is the largest share of an engine's request memory that new requests may fill.
-	// Engines preempt the newest request when memory runs out, and answer lengths are estimates.
+	// maxMemoryShare is the largest share of an engine's KV-cache capacity that new requests may
+	// fill. Engines preempt the newest request when memory runs out, and answer lengths are
+	// estimates.
 	maxMemoryShare = 0.9
-	// urgentAmortTokens is the number of tokens over which the delay of the first token is spread
-	// for an answer that is already in progress: a pause of 100 ms costs as much as 10 ms per
-	// token.
+	// urgentAmortTokens is the number of tokens over which the delay of the next event is spread if
+	// an answer is already in progress.
 	urgentAmortTokens = 10.0
 	// unreportedPromptRate is the assumed rate, in prompts per second, at which other entries send
-	// prompts through a pipe before they report them. Without this charge many entries route around
-	// a busy data centre at the same moment and congest the pipes.
+	// prompts over a link between data centres before they report them. It keeps many entries from
+	// choosing the same link before they have reported their load.
 	unreportedPromptRate = 1.1
 	// hopCost is the cost per token of each additional engine on a path.
 	hopCost = 100 * time.Microsecond
-	// defaultMaxPause is the longest acceptable pause between events on routes without a pause
-	// objective.
-	defaultMaxPause = 200 * time.Millisecond
+	// defaultMaxGap is the longest acceptable gap between events on routes without a gap objective.
+	defaultMaxGap = 200 * time.Millisecond
 )
 
-// choosePath returns the cheapest path with room for a request of the given size in tokens; sends
-// is the number of times that it was sent before.
+// choosePath returns the cheapest path with capacity for a request of the given size in tokens;
+// sends is the number of times that it was sent before.
 func (d *Daemon) choosePath(now time.Time, s *pkconfig.Service, tokens float64, sends int) (targetPath, bool) {
 	return d.findPath(now, s, d.newPathQuery(s, tokens, sends))
 }
@@ -39,7 +38,7 @@
 // newPathQuery returns the query for a complete path; sends is the number of times that the request
 // was sent before.
 func (d *Daemon) newPathQuery(s *pkconfig.Service, tokens float64, sends int) pathQuery {
-	q := pathQuery{layers: s.Engine.AllLayers(), tokens: tokens, from: d.settings.DataCenter, memoryShare: maxMemoryShare, maxCost: maxTokenCost(defaultMaxPause, s.Engine)}
+	q := pathQuery{layers: s.Engine.AllLayers(), tokens: tokens, from: d.settings.DataCenter, memoryShare: maxMemoryShare, maxCost: maxTokenCost(defaultMaxGap, s.Engine)}
 	if sends > 0 {
 		q.memoryShare, q.maxCost, q.urgent = 1, 0, true
 	}
@@ -47,10 +46,10 @@
 }
 
 // maxTokenCost returns the highest path cost per token at which a new request still meets the
-// caller's pause objective. Requests beyond it are refused with a time to retry: they would be late
-// and would slow down others on the same pipes and engines.
-func maxTokenCost(pause time.Duration, m *pklayers.Model) time.Duration {
-	return pause / time.Duration(max(m.EventTokens, 1))
+// caller's gap objective. Requests beyond it are refused with a Retry-After header: they would be
+// late and would slow down others on the same links and engines.
+func maxTokenCost(gap time.Duration, m *pklayers.Model) time.Duration {
+	return gap / time.Duration(max(m.EventTokens, 1))
 }
 
 // pathQuery describes the path to search for.
@@ -63,13 +62,13 @@
 	inPath bool
 	// exclude lists targets that the path must not use.
 	exclude []pkid.TargetID
-	// memoryShare is the share of an engine's request memory that may be filled. Requests that were
-	// sent before may use all of it.
+	// memoryShare is the share of an engine's KV-cache capacity that may be filled. Requests that
+	// were sent before may use all of it.
 	memoryShare float64
 	// maxCost bounds the cost of the path per token; zero means no bound.
 	maxCost time.Duration
-	// urgent is set when a caller waits for the next event of an answer in progress: the time until
-	// all tokens are read then weighs more than the time per further token.
+	// urgent is set if an answer is in progress; prefill time then weighs more than the time per
+	// further token.
 	urgent bool
 	// lastResort also allows targets that are avoided for a possibly transient failure, since the
 	// request would be refused otherwise.
@@ -91,7 +90,7 @@
 	entries := d.entryCount(now)
 	engines := make([]pklayers.Engine, 0, len(live))
 	for _, t := range live {
-		cost, ok := layerCost(now, m, t, q, entries, d.crowding)
+		cost, ok := layerCost(now, m, t, q, entries, d.memoryPenalty)
 		if !ok || !q.allows(now, t) {
 			continue
 		}
@@ -110,9 +109,9 @@
 		return targetPath{}, false
 	}
 	out := targetPath{cost: p.Cost}
-	for _, part := range p.Stages {
-		at, _ := slices.BinarySearchFunc(live, part.ID, func(t *pkreplica.Target, id pkid.TargetID) int { return cmp.Compare(t.ID, id) })
-		out.add(live[at], part)
+	for _, stage := range p.Stages {
+		at, _ := slices.BinarySearchFunc(live, stage.ID, func(t *pkreplica.Target, id pkid.TargetID) int { return cmp.Compare(t.ID, id) })
+		out.add(live[at], stage)
 	}
 	return out, true
 }
@@ -131,11 +130,11 @@
 		pair := [2]pkid.DataCenter{a, b}
 		cost, found := cache[pair]
 		if !found {
-			own := d.pipes.OwnTokens(now, a, b)
+			own := d.linkUsage.OwnTokens(now, a, b)
 			cost = m.Delay(a, b) + m.LinkCost(own+d.gossip.table.Flow(now, entries, a, b, own))
 			unreported := unreportedPromptRate * d.gossip.reportDelay().Seconds()
 			cost += time.Duration(unreported * float64(m.TransferTime(float64(m.PromptTokens))))
-			first := m.TransferTime(q.tokens) + d.pipes.Backlog(now, a, b)*time.Duration(entries)
+			first := m.TransferTime(q.tokens) + d.linkUsage.Backlog(now, a, b)*time.Duration(entries)
 			cost += time.Duration(float64(first) / q.amortTokens(m))
 			cache[pair] = cost
 		}
@@ -163,17 +162,17 @@
 }
 
 // layerCost returns the time that an engine takes per token and layer, which grows as its memory
-// fills, and whether it has room for the request.
-func layerCost(now time.Time, m *pklayers.Model, t *pkreplica.Target, q pathQuery, entries int, crowding pklayers.MemoryPenalty) (time.Duration, bool) {
+// fills, and whether it has capacity for the request.
+func layerCost(now time.Time, m *pklayers.Model, t *pkreplica.Target, q pathQuery, entries int, memoryPenalty pklayers.MemoryPenalty) (time.Duration, bool) {
 	held := t.Held.Len()
 	if held == 0 {
 		return 0, false
 	}
-	room := m.KVCapacity(t.Kind, held) * float64(held)
+	capacity := m.KVCapacity(t.Kind, held) * float64(held)
 	used := t.ExpectedMemory(now, entries) + q.tokens*float64(held)
-	fill := used / room
-	if room <= 0 || fill > q.memoryShare {
+	fill := used / capacity
+	if capacity <= 0 || fill > q.memoryShare {
 		return 0, false
 	}
-	return time.Duration(float64(m.StepTime(t.Kind, 1)) * crowding(fill)), true
+	return time.Duration(float64(m.StepTime(t.Kind, 1)) * memoryPenalty(fill)), true
 }
--- a/pkedge/choose_test.go
+++ b/pkedge/choose_test.go
@@ -12,9 +12,9 @@
 )
 
 // Guards against many entries that route their streams at the same moment to a faster engine in
-// another data centre and congest the pipe, while their own data centre has room. With fresher load
-// reports paths may leave it sooner.
-func TestPathStaysInItsDataCenterWhileThereIsRoom(t *testing.T) {
+// another data centre and congest the link, while their own data centre has capacity. Without hubs,
+// whose reports take longer, paths may leave it at a lower load.
+func TestPathStaysInItsDataCenterWhileItHasCapacity(t *testing.T) {
 	for _, row := range []struct {
 		hubs bool
 		// used is the share of the memory of the local engine that requests hold.
@@ -30,7 +30,7 @@
 		s.Engine.Kinds["fast"] = pklayers.Accelerator{MemoryMB: 90000, StepFactor: 8, PrefillFactor: 3}
 		far := engine("far", "away", 40, 80)
 		far.Kind = "fast"
-		d.applyListEntry(time.Now(), 2, far)
+		d.applyRecord(time.Now(), 2, far)
 		d.settings.DataCenter = "home"
 		d.gossip.withHubs.Store(row.hubs)
 		now := time.Now()
@@ -46,7 +46,7 @@
 // Guards against accepting new requests whose events would be later than the caller accepts and
 // would slow down all others, also if an event holds several tokens.
 func TestRequestIsRefusedIfItsEventsWouldBeLate(t *testing.T) {
-	const pause = 250 * time.Millisecond
+	const gap = 250 * time.Millisecond
 	slow := engine("slow", "a", 0, 80)
 	for _, row := range []struct {
 		tokens int
@@ -56,7 +56,7 @@
 		d, s := poolDaemon(slow)
 		s.Engine.EventTokens = row.tokens
 		s.Engine.Kinds["l4"] = pklayers.Accelerator{MemoryMB: 180_000, StepFactor: row.factor, PrefillFactor: 1}
-		c := &call{Daemon: d, route: &pkconfig.Route{GapObjective: pause}}
+		c := &call{Daemon: d, route: &pkconfig.Route{GapObjective: gap}}
 		_, found := c.nextPath(time.Now(), s)
 		assert.Equal(t, found, row.want, "%+v", row)
 	}
--- a/pkedge/configuration.go
+++ b/pkedge/configuration.go
@@ -27,8 +27,8 @@
 				}
 			}
 		},
-		// For an entry that has the list of replicas relayed, only this watch shows that the store
-		// is lost.
+		// An entry served by a hub does not watch the list of replicas, so only this watch shows
+		// that the store is lost.
 		onLost: func() {
 			if d.gossip.table.ServedByHub(time.Now()) {
 				d.roster.MarkStoreUnavailable(time.Now())
@@ -55,7 +55,7 @@
 		d.log.Error("invalid configuration ignored", "revision", item.Revision.String(), "source", source, "error", err)
 		return false
 	}
-	if !d.book.Adopt(c, item) {
+	if !d.configs.Adopt(c, item) {
 		return false
 	}
 	d.log.Info("configuration in force", "version", c.Version, "revision", item.Revision.String(), "source", source,
--- a/pkedge/configuration_test.go
+++ b/pkedge/configuration_test.go
@@ -35,11 +35,12 @@
 func (d *Daemon) sentConfig(t *testing.T, now time.Time) pkstore.Item {
 	t.Helper()
 	d.gossip.table.Apply(now, pkshare.Message{From: "fresh", Run: 1, Sequence: 1})
-	table := d.book.Table()
+	table := d.configs.Table()
 	m := pkshare.Message{Config: table.Item.Revision, Version: table.Version}
-	const missingTime = 500 * time.Millisecond // the receiver must lack the configuration for longer
-	assert.Assert(t, !d.addMissing(now, &m, "fresh", pkshare.Peer))
-	assert.Assert(t, d.addMissing(now.Add(missingTime), &m, "fresh", pkshare.Peer))
+	// The configuration is sent only after the receiver has lacked it for this long.
+	const missingFor = 500 * time.Millisecond
+	assert.Assert(t, !d.addCatchUp(now, &m, "fresh", pkshare.Peer))
+	assert.Assert(t, d.addCatchUp(now.Add(missingFor), &m, "fresh", pkshare.Peer))
 	return *m.NewConfig
 }
 
--- a/pkedge/daemon.go
+++ b/pkedge/daemon.go
@@ -28,7 +28,7 @@
 	"peridotknot.example/pkwait"
 )
 
-// Ports are the platform's protocols and names that a daemon uses.
+// Ports connects a daemon to the platform: its store, its protocols and its key names.
 type Ports struct {
 	Store pkstore.Store
 	Feed  pkstore.Feed
@@ -39,8 +39,8 @@
 	OwnPrefix     string
 	// Config decodes the operators' configuration.
 	Config func(raw []byte) (pkconfig.Config, error)
-	// Replica decodes an entry of the list of replicas. The record is valid also with an error,
-	// which says why the entry names no replica.
+	// Replica decodes a record of the list of replicas. With an error, which gives the invalid
+	// field, the record is marked deleted and unusable.
 	Replica func(pkstore.Item) (pkreplica.Record, error)
 	// ReplicaID returns the replica that a key belongs to.
 	ReplicaID func(key string) pkid.TargetID
@@ -51,7 +51,7 @@
 	Conns *pkconn.Registry
 }
 
-// Daemon is an entry of the fleet.
+// Daemon is one router process of the fleet; settings, logs and peers call it an entry.
 type Daemon struct {
 	Ports
 	settings Settings
@@ -61,21 +61,21 @@
 	log     hclog.Logger
 	metrics *metrics
 
-	book   pkconfig.Holder
-	roster pkreplica.Roster
-	paces  pkpace.Table
-	pipes  pklayers.LinkUsage
-	// crowding is how the cost of an engine grows as its memory fills.
-	crowding pklayers.MemoryPenalty
-	members  members
-	store    breaker
+	configs   pkconfig.Holder
+	roster    pkreplica.Roster
+	paces     pkpace.Table
+	linkUsage pklayers.LinkUsage
+	// memoryPenalty is how the cost of an engine grows as its memory fills.
+	memoryPenalty pklayers.MemoryPenalty
+	members       members
+	store         breaker
 	// watches are the watches of the store in progress.
 	watches    pkwait.Group
 	staleWatch staleWatchDetector
 	era        eraTracker
 	storeCalls storeCallCounts
-	// pendingOrders are the orders in progress by pool; only reconcilePools uses them.
-	pendingOrders map[pkid.ServiceID]*pkowner.Scheduler
+	// schedulers are the schedulers of order changes by pool; only reconcilePools uses them.
+	schedulers map[pkid.ServiceID]*pkowner.Scheduler
 	// ownerlessSince is since when no owner is known; only reconcilePools uses it.
 	ownerlessSince time.Time
 	// nextAcquire is when this daemon may try again to become the owner; only reconcilePools uses
@@ -84,9 +84,10 @@
 	budgets     budgets
 	gossip      gossip
 	streams     attemptSet
-	// refusedEngines are engines to check for liveness and draining.
-	refusedEngines chan refusedEngine
-	quarantine     quarantine
+	// refusalCauses are engines, on whose behalf requests were refused, to check for liveness and
+	// draining.
+	refusalCauses chan refusalCause
+	quarantine    quarantine
 
 	started time.Time
 
@@ -96,20 +97,21 @@
 	// configured is closed once a configuration is in force.
 	configured  chan struct{}
 	firstConfig sync.Once
-	listed      atomic.Bool
-	stopping    atomic.Bool
-	active      atomic.Int64
+	// listed is set once the list of replicas was read.
+	listed   atomic.Bool
+	stopping atomic.Bool
+	active   atomic.Int64
 	// lastShortageLog is when a lack of capacity was last logged, in Unix nanoseconds.
 	lastShortageLog atomic.Int64
 }
 
 // New returns a daemon whose listeners are open. Requests are served once Run is called.
 func New(s Settings, p Ports, log hclog.Logger) (*Daemon, error) {
-	d := &Daemon{Ports: p, settings: s, log: log, configured: make(chan struct{}), crowding: pklayers.InversePenalty}
+	d := &Daemon{Ports: p, settings: s, log: log, configured: make(chan struct{}), memoryPenalty: pklayers.InversePenalty}
 	d.retry.Store(&s.Retry)
 	d.seeds.Store(&s.Seeds)
 	d.streams.wake = make(chan struct{}, 1)
-	d.refusedEngines = make(chan refusedEngine, maxRefusedEngines)
+	d.refusalCauses = make(chan refusalCause, maxRefusalCauses)
 	d.metrics = newMetrics(d)
 	var err error
 	if d.callers, err = net.Listen("tcp", s.Listen.Callers); err != nil {
@@ -124,15 +126,15 @@
 	return d, nil
 }
 
-// Reload applies changed settings to a running daemon. Only Retry and Seeds take effect at once;
-// other changes are logged and need a restart.
+// Reload applies changed settings to a running daemon. Retry and Seeds take effect at once. If
+// another setting has changed, a warning is logged and the change takes effect after a restart.
 func (d *Daemon) Reload(s Settings) {
 	d.retry.Store(&s.Retry)
 	d.seeds.Store(&s.Seeds)
 	started := d.settings
 	started.Retry, started.Seeds = s.Retry, s.Seeds
 	if !reflect.DeepEqual(started, s) {
-		d.log.Warn("some changed settings take effect only after a restart")
+		d.log.Warn("changed settings other than retry and seeds are ignored until a restart")
 	}
 	d.log.Info("settings reloaded", "retry_ratio", s.Retry.Ratio, "retry_slack", s.Retry.Slack, "seeds", len(s.Seeds))
 }
@@ -150,23 +152,23 @@
 	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	server := newCallerServer(d)
-	readiness := &http.Server{Handler: d.readinessHandler(), ReadHeaderTimeout: readinessTimeout}
+	readiness := &http.Server{Handler: d.readinessHandler(), ReadHeaderTimeout: readHeaderTimeout}
 	var g run.Group
 	g.Add(func() error { return d.waitAndStop(ctx, server) }, func(error) { cancel() })
 	g.Add(func() error { return server.run(inner) }, func(error) { server.close() })
 	g.Add(func() error { return untilDone(inner, readiness.Serve(d.ready)) }, func(error) { _ = readiness.Close() })
 	if d.gossip.listener != nil {
-		peers := &http.Server{Handler: d.peersHandler(inner), ReadHeaderTimeout: readinessTimeout}
+		peers := &http.Server{Handler: d.peersHandler(inner), ReadHeaderTimeout: readHeaderTimeout}
 		g.Add(func() error { return untilDone(inner, peers.Serve(d.gossip.listener)) }, func(error) { _ = peers.Close() })
 	}
-	for _, loop := range []func(context.Context){d.followConfig, d.followReplicas, d.followMembers, d.pollConfig, d.maintainLease, d.reconcilePools, d.sendToPeers, d.updateLoads, d.rerouteStreams, d.watchEngines, d.pollPaces, d.logStoreCalls, d.detectCrashes, d.saveQuarantined, d.checkRefusedEngines} {
+	for _, loop := range []func(context.Context){d.followConfig, d.followReplicas, d.followMembers, d.pollConfig, d.maintainLease, d.reconcilePools, d.sendToPeers, d.updateLoads, d.rerouteStreams, d.monitorEngines, d.pollPaces, d.logStoreCalls, d.detectCrashes, d.saveQuarantined, d.checkRefusalCauses} {
 		g.Add(func() error { loop(inner); return nil }, func(error) { cancel() })
 	}
 	return g.Run()
 }
 
-// untilDone keeps a server closed by the stop from ending the run group before the stop is
-// complete.
+// untilDone waits for ctx to end if err only reports that the server was closed, since the first
+// actor to return ends the run group. It returns other errors at once.
 func untilDone(ctx context.Context, err error) error {
 	if !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -176,8 +178,8 @@
 }
 
 const (
-	// readinessTimeout bounds reading the headers of requests from the platform and from peers.
-	readinessTimeout = 2 * time.Second
+	// readHeaderTimeout bounds reading the headers of requests from the platform and from peers.
+	readHeaderTimeout = 2 * time.Second
 	// drainListenTime is how long a stopping daemon keeps accepting connections: the load balancer
 	// removes it after two failed readiness checks a second apart.
 	drainListenTime = 3 * time.Second
@@ -198,9 +200,9 @@
 	ctx = context.WithoutCancel(ctx)
 	d.revokeLease(ctx)
 	pktimer.Sleep(ctx, min(drainListenTime, grace)-time.Since(began))
-	within, cancel := context.WithTimeout(ctx, grace-time.Since(began))
+	drainCtx, cancel := context.WithTimeout(ctx, grace-time.Since(began))
 	defer cancel()
-	err := s.shutdown(within)
+	err := s.shutdown(drainCtx)
 	d.log.Info("stopped", "active", d.active.Load(), "after", time.Since(began).String())
 	if errors.Is(err, context.DeadlineExceeded) {
 		return nil
@@ -221,7 +223,7 @@
 
 // isReady reports whether new callers should be sent to this daemon.
 func (d *Daemon) isReady() bool {
-	return d.book.Table() != nil && d.listed.Load() && !d.stopping.Load()
+	return d.configs.Table() != nil && d.listed.Load() && !d.stopping.Load()
 }
 
 // budgets are the retry budgets by service.
--- a/pkedge/era.go
+++ b/pkedge/era.go
@@ -8,8 +8,8 @@
 	"peridotknot.example/pkstore"
 )
 
-// eraTracker tracks the newest known era of the store. A new era begins when the store returns from
-// an older copy.
+// eraTracker tracks the newest known era of the store. A new era begins when the store is restored
+// from an older copy.
 type eraTracker struct {
 	mu     sync.Mutex
 	known  bool
@@ -20,8 +20,8 @@
 	owned bool
 }
 
-// observe records an era at now, and reports whether it is later than the one known before. The
-// argument owned tells whether this daemon owns the pools.
+// observe records an era at now, and reports whether it is later than the one known before. owned
+// is whether this daemon owns the pools.
 func (e *eraTracker) observe(now time.Time, era pkstore.Era, owned bool) (before pkstore.Era, later bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -44,7 +44,7 @@
 }
 
 // recordEra records the era of a revision received at now from the store or a peer. When the store
-// has returned from an older copy, this daemon's lease is lost with all keys written under it, and
+// was restored from an older copy, this daemon's lease is lost with all keys written under it, and
 // quarantined requests must be saved again.
 func (d *Daemon) recordEra(now time.Time, rev pkstore.Revision, source string) {
 	if rev == 0 {
@@ -63,10 +63,10 @@
 		return
 	}
 	saves := 0
-	if d.gossip.first.Load() {
+	if d.gossip.designated.Load() {
 		saves = d.quarantine.resaveAll(now)
 	}
-	d.metrics.storeReturns.Inc()
+	d.metrics.storeRestores.Inc()
 	d.log.Warn("the store came back from an older copy", "era", rev.Era(), "before", before, "source", source,
 		"owned", owned, "held_requests_to_save", saves)
 }
--- a/pkedge/era_bench_test.go
+++ b/pkedge/era_bench_test.go
@@ -14,9 +14,9 @@
 // benchEntries is the number of entries per data centre in the benchmark.
 const benchEntries = 65
 
-// BenchmarkReturnOfTheStore measures how long a fleet takes to know a new era and to be registered
+// BenchmarkStoreRestore measures how long a fleet takes to know a new era and to be registered
 // again, and reports the calls to the store, in total and in the busiest tenth of a second.
-func BenchmarkReturnOfTheStore(b *testing.B) {
+func BenchmarkStoreRestore(b *testing.B) {
 	for _, entries := range []int{8, 67, 195} {
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
 			w := platformtest.NewPlatform()
--- a/pkedge/era_test.go
+++ b/pkedge/era_test.go
@@ -12,8 +12,8 @@
 	"peridotknot.example/platform/platformtest"
 )
 
-// runsAt returns the engines that ran a request.
-func runsAt(w *platformtest.Platform, id string) map[string]bool {
+// enginesOf returns the ids of the engines that ran a request.
+func enginesOf(w *platformtest.Platform, id string) map[string]bool {
 	out := map[string]bool{}
 	for _, run := range w.Runs(id) {
 		out[run.Replica] = true
@@ -21,10 +21,10 @@
 	return out
 }
 
-// Guards against using stale data when the store returns from an older copy, in which a revoked key
-// is valid, a draining engine is ready and all leases are lost. The entries must keep the newer
+// Guards against using stale data when the store is restored from an older copy, in which a revoked
+// key is valid, a draining engine is ready and all leases are lost. The entries must keep the newer
 // state that they know until it is written again, and become members and owner again.
-func TestStoreReturnsFromAnOlderCopy(t *testing.T) {
+func TestStoreIsRestoredFromAnOlderCopy(t *testing.T) {
 	t.Parallel()
 	const revoked, good = platformtest.Key, "key-2"
 	w, engines := newPool(t)
@@ -60,7 +60,7 @@
 			assert.Equal(t, n.do(t, http.MethodPost, "/talk/1", id+"-revoked", revoked, 1).status, http.StatusUnauthorized)
 			got := n.do(t, http.MethodPost, "/talk/1", id, good, 2)
 			assert.Equal(t, got.body, events(2), "%d %v", got.status, got.err)
-			assert.Assert(t, !runsAt(w, id)[leaving])
+			assert.Assert(t, !enginesOf(w, id)[leaving])
 		}
 	}
 	w.Store.Restore(from)
@@ -85,7 +85,7 @@
 	}
 }
 
-// Guards against a new entry that puts an older configuration in force after the store has returned
+// Guards against a new entry that puts an older configuration in force after the store was restored
 // from an older copy: its peers must send it the newest one.
 func TestANewEntryLearnsTheNewestConfigurationInANewEra(t *testing.T) {
 	t.Parallel()
@@ -103,13 +103,13 @@
 	assert.Equal(t, old.metric(t, "peridotknot_config_version"), "4")
 }
 
-// Guards against two owners that order the same engines by different plans: after the store has
-// returned from an older copy, the previous owner may act until its lease would have expired.
+// Guards against two owners that order the same engines by different plans: after the store was
+// restored from an older copy, the previous owner may act until its lease would have expired.
 func TestNewOwnerWaitsForTheLeaseOfThePreviousEra(t *testing.T) {
 	t.Parallel()
 	w, _ := newPool(t)
 	w.Store.EnableEras()
-	l := link(t, w)
+	l := storeProxy(t, w)
 	owner := startAt(t, l.Addr(), "n-owner")
 	owner.waitForStream(t)
 	assert.Equal(t, len(w.Store.Keys(platform.OwnPrefix+"owner")), 1)
@@ -122,7 +122,7 @@
 	})
 }
 
-// Guards against a configuration that is not put in force since the watch of the previous era is
+// Guards against a configuration that is not put in force because the watch of the previous era is
 // never answered, while lease renewals show the new one.
 func TestConfigurationIsInForceIfTheWatchOfThePreviousEraIsNotAnswered(t *testing.T) {
 	t.Parallel()
--- a/pkedge/era_tracker_test.go
+++ b/pkedge/era_tracker_test.go
@@ -9,7 +9,7 @@
 	"peridotknot.example/pkstore"
 )
 
-// Guards against two owners of the pools after the store has returned from an older copy, and
+// Guards against two owners of the pools after the store was restored from an older copy, and
 // against pools without an owner because the previous one waits for its own lease.
 func TestOnlyThePreviousOwnerMayTakeOverAtOnce(t *testing.T) {
 	start := time.Unix(1000, 0)
--- a/pkedge/follow_test.go
+++ b/pkedge/follow_test.go
@@ -11,7 +11,7 @@
 	"peridotknot.example/platform/platformtest"
 )
 
-// startServing starts a world with one plain replica and an entry that is ready.
+// startServing starts a platform with one plain replica and an entry that is ready.
 func startServing(t *testing.T) (*platformtest.Platform, *node) {
 	t.Helper()
 	w := platformtest.NewPlatform()
@@ -55,12 +55,12 @@
 
 // Guards against an entry without access to the store that accepts a revoked key: it must learn of
 // the revocation from its peers.
-func TestAnEntryWithoutTheStoreIsToldByPeers(t *testing.T) {
+func TestEntryWithoutStoreLearnsConfigurationFromPeers(t *testing.T) {
 	t.Parallel()
 	w := platformtest.NewPlatform()
 	defer w.Close()
 	w.Add(platformtest.App, "i-a", "a")
-	l := link(t, w)
+	l := storeProxy(t, w)
 	one := start(t, w, "one")
 	two := startAt(t, l.Addr(), "two")
 	eventually(t, "readiness", func() bool { return one.isReady(t) && two.isReady(t) })
@@ -96,21 +96,21 @@
 	})
 }
 
-// Guards against a configuration that is not put in force since the watch waits on a connection
+// Guards against a configuration that is not put in force because the watch waits on a connection
 // that has fallen silent, while lease renewals succeed over new ones.
 func TestConfigurationIsInForceAfterConnectionsFellSilent(t *testing.T) {
 	t.Parallel()
 	w := platformtest.NewPlatform()
 	defer w.Close()
 	w.Add(platformtest.App, "i-a", "a")
-	l := link(t, w)
+	l := storeProxy(t, w)
 	n := startAt(t, l.Addr(), "one")
 	eventually(t, "readiness", func() bool { return n.isReady(t) })
 	l.Blackhole()
 	n.waitForKey(t, addKey(w, "key-2"))
 }
 
-// Guards against a configuration that is not put in force since the store never answers watches,
+// Guards against a configuration that is not put in force because the store never answers watches,
 // though it answers other calls.
 func TestUnansweredWatchesAreRestarted(t *testing.T) {
 	t.Parallel()
--- a/pkedge/follower.go
+++ b/pkedge/follower.go
@@ -11,26 +11,24 @@
 )
 
 const (
-	// changeBatchDelay is how long changes are collected in fleets of up to batchBaseEntries. It is
-	// a tenth of the time after which a draining replica must receive no more requests.
+	// changeBatchDelay is the delay between a change and the next watch, within which further
+	// changes are collected, in fleets of up to batchBaseEntries.
 	changeBatchDelay = 200 * time.Millisecond
-	// relayPollInterval is how often an entry that has changes relayed to it checks that it still
-	// has.
+	// relayPollInterval is how often an entry served by a hub checks that it still is.
 	relayPollInterval = 250 * time.Millisecond
-	// relayStartTimeout is how long after its start an entry that has read a list waits for others
-	// to relay changes. The lists of a starting fleet change all the time, and each change would
-	// cost a call of each entry.
+	// relayStartTimeout is how long after its start an entry waits for a hub to serve it before it
+	// watches a list itself, since each change costs every watching entry a call.
 	relayStartTimeout = 3 * time.Second
-	// rolesKnownAfter is the time after its start when an entry knows its role: it has read the
-	// members and updated its links since.
-	rolesKnownAfter = 2 * roundsPerLinkUpdate * pkshare.Interval
+	// roleSettleTime is how long after its start an entry's role is settled: by then it has read
+	// the members and updated its peer links.
+	roleSettleTime = 2 * roundsPerPeerLinkUpdate * pkshare.Interval
 	// batchBaseEntries is the number of entries above which changes are collected for longer, in
 	// proportion: each change ends the watches of all entries, and each watch is a call to the
 	// store.
 	batchBaseEntries = 8
 	// maxConfigBatchDelay, maxReplicasBatchDelay and maxMembersBatchDelay bound the time that
 	// changes are collected. Configurations and draining replicas must be known to all entries
-	// within two seconds; the members matter only to entries that relay messages.
+	// within two seconds; changes of the members may take longer.
 	maxConfigBatchDelay   = 500 * time.Millisecond
 	maxReplicasBatchDelay = 500 * time.Millisecond
 	maxMembersBatchDelay  = 1500 * time.Millisecond
@@ -72,8 +70,8 @@
 }
 
 // follow lists a prefix and then watches its changes, until ctx ends. It lists again after each
-// failed watch: a watch resumed while the store loses its history would miss what was written
-// meanwhile, such as the revocation of a key.
+// failed watch: a watch resumed after the store has compacted its history would miss writes, such
+// as the revocation of a key.
 func (d *Daemon) follow(ctx context.Context, f follower) {
 	var p progress
 	for ctx.Err() == nil {
@@ -167,10 +165,10 @@
 // it.
 func (d *Daemon) relayExpected(now time.Time) bool {
 	age := now.Sub(d.started)
-	if age < rolesKnownAfter {
+	if age < roleSettleTime {
 		return true
 	}
-	return age < relayStartTimeout && d.gossip.withHubs.Load() && !d.gossip.first.Load()
+	return age < relayStartTimeout && d.gossip.withHubs.Load() && !d.gossip.designated.Load()
 }
 
 func (d *Daemon) listPrefix(ctx context.Context, f follower) (pkstore.Revision, error) {
@@ -200,8 +198,8 @@
 }
 
 // batchDelay returns how long changes are collected in a fleet of the given size.
-func batchDelay(entries int, most time.Duration) time.Duration {
-	return min(changeBatchDelay*time.Duration(max(entries, batchBaseEntries))/batchBaseEntries, most)
+func batchDelay(entries int, limit time.Duration) time.Duration {
+	return min(changeBatchDelay*time.Duration(max(entries, batchBaseEntries))/batchBaseEntries, limit)
 }
 
 func callIfSet(f func()) {
--- a/pkedge/gossip.go
+++ b/pkedge/gossip.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	// roundsPerLinkUpdate is the number of rounds after which the links to peers are updated.
-	roundsPerLinkUpdate = 3
+	// roundsPerPeerLinkUpdate is the number of rounds after which the links to peers are updated.
+	roundsPerPeerLinkUpdate = 3
 	// roundsPerSum is the number of rounds after which a message is due in fleets with hubs.
 	roundsPerSum = int(pkshare.HubInterval / pkshare.Interval)
-	// storeReturnAnnounceTime is how long peers are told that the store has returned. It is longer
-	// than list entries that expired meanwhile take to be written again.
-	storeReturnAnnounceTime = 5 * time.Second
+	// storeRecoveryAnnounceTime is how long this entry announces to peers that the store is
+	// available again. Replicas renew expired records within that time.
+	storeRecoveryAnnounceTime = 5 * time.Second
 	// sendBatchDelay is the delay before a message that is sent at once. Engines that die together
 	// are found within a few milliseconds of one another, and are reported in one message.
 	sendBatchDelay = 5 * time.Millisecond
@@ -39,20 +39,21 @@
 
 // gossip is the exchange of state with the other entries.
 type gossip struct {
-	table    pkshare.Table
-	net      *pkpeer.Transport[pkshare.Message]
-	listener net.Listener
+	table     pkshare.Table
+	transport *pkpeer.Transport[pkshare.Message]
+	listener  net.Listener
 	// addr is the address that this entry receives messages at, empty if it has no peers.
 	addr string
 	// run identifies this start of the entry.
 	run uint64
 
-	// links are the connections to peers by address; only sendToPeers uses them.
-	links map[string]*link
+	// peerLinks are the connections to peers by address; only sendToPeers uses them.
+	peerLinks map[string]*peerLink
 	// withHubs is set if the fleet is large enough for hubs, which relay messages.
 	withHubs atomic.Bool
-	// first is set if this entry is among the first of its data centre.
-	first atomic.Bool
+	// designated is set if this entry is one of the designated entries of its data centre, which
+	// are its hubs if there are hubs.
+	designated atomic.Bool
 
 	// sendNow triggers a message before the next one is due.
 	sendNow chan struct{}
@@ -64,9 +65,9 @@
 }
 
 func (s *gossip) open(listen Listen) error {
-	s.net = pkpeer.NewTransport[pkshare.Message](pkpeer.Identity{}, pkconn.DefaultOptions())
+	s.transport = pkpeer.NewTransport[pkshare.Message](pkpeer.Identity{}, pkconn.DefaultOptions())
 	s.run = rand.Uint64()
-	s.links = map[string]*link{}
+	s.peerLinks = map[string]*peerLink{}
 	s.suspects = map[pkid.TargetID]suspicion{}
 	s.sendNow = make(chan struct{}, 1)
 	if listen.Peers == "" {
@@ -84,12 +85,12 @@
 func (d *Daemon) peersHandler(ctx context.Context) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+pkpeer.Path, func(w http.ResponseWriter, r *http.Request) {
-		c, err := d.gossip.net.Accept(w, r)
+		c, err := d.gossip.transport.Accept(w, r)
 		if err != nil {
 			d.log.Warn("peer connection not accepted", "error", err)
 			return
 		}
-		defer func() { _ = c.Close() }() // a closed connection has nothing left to lose
+		defer func() { _ = c.Close() }() // nothing is pending on it
 		for {
 			m, err := c.Receive(ctx)
 			if err != nil {
@@ -174,8 +175,8 @@
 		d.broadcast(now, m, due, changed)
 	}
 	pktimer.EveryOrWake(ctx, pkshare.Interval, s.sendNow, func(ctx context.Context) {
-		if round%roundsPerLinkUpdate == 0 {
-			d.updateLinks(ctx, time.Now())
+		if round%roundsPerPeerLinkUpdate == 0 {
+			d.updatePeerLinks(ctx, time.Now())
 		}
 		round++
 		send(round%roundsPerSum == 0)
@@ -186,44 +187,44 @@
 	})
 }
 
-// updateLinks starts and ends links to match the peers known at now.
-func (d *Daemon) updateLinks(ctx context.Context, now time.Time) {
+// updatePeerLinks starts and ends links to match the peers known at now.
+func (d *Daemon) updatePeerLinks(ctx context.Context, now time.Time) {
 	s := &d.gossip
 	wanted := d.roles(now)
-	for addr, l := range s.links {
+	for addr, l := range s.peerLinks {
 		if _, still := wanted[addr]; !still {
 			l.cancel()
-			delete(s.links, addr)
+			delete(s.peerLinks, addr)
 		}
 	}
 	for addr, role := range wanted {
-		if l := s.links[addr]; l != nil {
+		if l := s.peerLinks[addr]; l != nil {
 			l.incomplete = l.incomplete || l.role != role
 			l.role = role
 			continue
 		}
 		inner, cancel := context.WithCancel(ctx)
-		l := &link{cancel: cancel, role: role, out: make(chan []byte, 1)}
-		s.links[addr] = l
-		s.wg.Go(func() { d.runLink(inner, addr, l) })
+		l := &peerLink{cancel: cancel, role: role, out: make(chan []byte, 1)}
+		s.peerLinks[addr] = l
+		s.wg.Go(func() { d.runPeerLink(inner, addr, l) })
 	}
 }
 
-// addMissing adds to a message the state that its receiver lacks, and reports whether there is any.
-func (d *Daemon) addMissing(now time.Time, m *pkshare.Message, to pkid.EntryID, role pkshare.Role) bool {
+// addCatchUp adds to a message the state that its receiver lacks, and reports whether there is any.
+func (d *Daemon) addCatchUp(now time.Time, m *pkshare.Message, to pkid.EntryID, role pkshare.Role) bool {
 	known := pkshare.LocalState{Self: d.settings.Entry, Config: m.Config, Version: m.Version, List: m.List, QuarantineChecksum: m.QuarantineChecksum, Hub: role != pkshare.Peer}
-	misses := d.gossip.table.CatchUpFor(now, to, known)
-	if table := d.book.Table(); misses.Config && table != nil {
+	catchUp := d.gossip.table.CatchUpFor(now, to, known)
+	if table := d.configs.Table(); catchUp.Config && table != nil {
 		item := table.Item
 		m.NewConfig = &item
 	}
-	if misses.List {
-		m.NewRecords, m.RecordsAfter = d.roster.Since(misses.After), &misses.After
+	if catchUp.List {
+		m.NewRecords, m.RecordsAfter = d.roster.Since(catchUp.After), &catchUp.After
 	}
-	if misses.Quarantine {
+	if catchUp.Quarantine {
 		m.Cases = append(d.quarantine.table.IsQuarantined(now), m.Cases...)
 	}
-	return misses.Config || misses.List || misses.Quarantine
+	return catchUp.Config || catchUp.List || catchUp.Quarantine
 }
 
 // roles returns the role of each peer to send to by its address. Peers are the members in the store
@@ -245,7 +246,7 @@
 	delete(byAddr, "")
 	d.gossip.withHubs.Store(pkshare.UsesHubs(len(byAddr)))
 	others := slices.Collect(maps.Values(byAddr))
-	d.gossip.first.Store(d.gossip.table.IsDesignated(now, self, others))
+	d.gossip.designated.Store(d.gossip.table.IsDesignated(now, self, others))
 	return d.gossip.table.Roles(now, self, others)
 }
 
@@ -275,16 +276,16 @@
 		Cases:     d.quarantine.table.RecentChanges(now), QuarantineChecksum: d.quarantine.table.Checksum(now),
 		Paces: d.paces.Observations(now),
 	}
-	if back := now.Sub(d.roster.StoreRecoveredAt()); back < storeReturnAnnounceTime {
+	if back := now.Sub(d.roster.StoreRecoveredAt()); back < storeRecoveryAnnounceTime {
 		m.StoreRecoveredAgoMS = max(back.Milliseconds(), 1)
 	}
-	for _, f := range d.pipes.Flows(now) {
+	for _, f := range d.linkUsage.Flows(now) {
 		m.Flows = append(m.Flows, pkshare.Flow{A: f.A, B: f.B, Tokens: float32(f.Tokens)})
 	}
 	if s.withHubs.Load() && s.table.HubMemberCount(now) == 0 {
 		m.Members = d.members.count(now, 0)
 	}
-	if table := d.book.Table(); table != nil {
+	if table := d.configs.Table(); table != nil {
 		m.Config, m.Version = table.Item.Revision, table.Version
 	}
 	s.mu.Lock()
@@ -298,8 +299,8 @@
 			continue
 		}
 		m.Suspects = append(m.Suspects, pkshare.Suspect{
-			Target: id, RemainingMS: left.Milliseconds(), Gone: one.fault == faultGone, StaleRecord: one.fault == faultMisplaced,
-			Born: one.born, RecordRevision: one.entry,
+			Target: id, RemainingMS: left.Milliseconds(), Gone: one.fault == faultGone, StaleRecord: one.fault == faultStaleRecord,
+			Born: one.startTime, RecordRevision: one.recordRevision,
 		})
 	}
 	s.mu.Unlock()
--- a/pkedge/gossip_test.go
+++ b/pkedge/gossip_test.go
@@ -15,22 +15,23 @@
 	"peridotknot.example/pkshare"
 )
 
-// fleetDaemon returns a daemon with peers in its data centre, whose links are not connected.
+// fleetDaemon returns a daemon with peers in its data centre, whose peer links are not connected.
 func fleetDaemon(self pkid.EntryID, others int) *Daemon {
 	d, _ := poolDaemon(engine("dead", "a", 0, 80))
 	d.settings.Entry, d.settings.DataCenter = self, "a"
 	d.gossip.sendNow = make(chan struct{}, 1)
-	d.gossip.links = map[string]*link{}
+	d.gossip.peerLinks = map[string]*peerLink{}
 	for i := range others {
 		id := pkid.EntryID(fmt.Sprintf("m-%02d", i))
 		d.gossip.table.Apply(time.Now(), pkshare.Message{From: id, Addr: string(id), DataCenter: "a", Sequence: 1})
-		d.gossip.links[string(id)] = &link{cancel: func() {}, out: make(chan []byte, 1)}
+		d.gossip.peerLinks[string(id)] = &peerLink{cancel: func() {}, out: make(chan []byte, 1)}
 	}
 	return d
 }
 
-// receivedSuspects returns the suspicions in the newest message of a link, and fails without one.
-func receivedSuspects(t *testing.T, l *link) []pkshare.Suspect {
+// receivedSuspects returns the suspicions in the newest message of a peer link, and fails if there
+// is none.
+func receivedSuspects(t *testing.T, l *peerLink) []pkshare.Suspect {
 	t.Helper()
 	synctest.Wait()
 	select {
@@ -56,7 +57,7 @@
 			one, _ := d.roster.Target("dead")
 			d.suspect(one, now.Add(suspectTTL), syscall.ECONNREFUSED)
 		}},
-		{"by a hub that was told of it", 14, func(d *Daemon, now time.Time) {
+		{"by a hub that received a report of it", 14, func(d *Daemon, now time.Time) {
 			d.receiveMessage(now, pkshare.Message{From: "m-09", Addr: "m-09", DataCenter: "a", Sequence: 2, Suspects: []pkshare.Suspect{
 				{Target: "dead", RemainingMS: suspectTTL.Milliseconds(), Gone: true},
 			}})
@@ -70,7 +71,7 @@
 				defer cancel()
 				go d.sendToPeers(ctx)
 				synctest.Wait()
-				l := d.gossip.links["m-01"]
+				l := d.gossip.peerLinks["m-01"]
 				receivedSuspects(t, l)
 
 				time.Sleep(pkshare.Interval / 3)
--- a/pkedge/lease.go
+++ b/pkedge/lease.go
@@ -18,11 +18,10 @@
 	// leaseMargin is the time before the end of the lease when the owner stops sending orders,
 	// which may take up to orderTimeout.
 	leaseMargin = time.Second
-	// leaseRenewInterval is how often the owner of the pools and entries that relay changes renew
-	// their lease; it survives two lost renewals.
+	// leaseRenewInterval is how often a lease is renewed; it survives two lost renewals.
 	leaseRenewInterval = time.Second
-	// relayedLeaseRenewInterval is the same for the many entries that have changes relayed to them;
-	// the lease survives one lost renewal.
+	// relayedLeaseRenewInterval is the same for entries served by a hub; the lease survives one
+	// lost renewal.
 	relayedLeaseRenewInterval = 1800 * time.Millisecond
 	// leaseGrantInterval is how often a new lease is requested after a failed request. A grant
 	// costs more than a renewal, and the store is mostly unavailable then.
@@ -113,7 +112,7 @@
 		return 0
 	case lost && err != nil && !errors.Is(err, pkstore.ErrNoLease):
 		return leaseGrantInterval
-	case d.gossip.first.Load() || !d.membersRelayed(now):
+	case d.gossip.designated.Load() || !d.membersRelayed(now):
 		return leaseRenewInterval
 	default:
 		return relayedLeaseRenewInterval
@@ -156,8 +155,8 @@
 	return d.register(ctx, registered)
 }
 
-// awaitMembers waits up to membersReadTimeout until the members were read. They include the key
-// that a killed daemon has left, which would otherwise cost it a second write to replace.
+// awaitMembers waits up to membersReadTimeout until the members were read. They show the key left
+// by a killed previous run of this daemon; without its revision, register needs a second write.
 func (d *Daemon) awaitMembers(ctx context.Context) {
 	m := &d.members
 	for began := time.Now(); time.Since(began) < membersReadTimeout; {
--- a/pkedge/load_test.go
+++ b/pkedge/load_test.go
@@ -24,8 +24,8 @@
 	duration  time.Duration
 	// reportDelay is the largest age of the other entries' loads.
 	reportDelay time.Duration
-	// crowding is the policy under test.
-	crowding pklayers.MemoryPenalty
+	// memoryPenalty is the policy under test.
+	memoryPenalty pklayers.MemoryPenalty
 }
 
 // simResult is the outcome of a simulation.
@@ -76,17 +76,17 @@
 		{"c", "l4", 20},
 		{"c", "t4", 9},
 	}
-	var cards []pklayers.Placement
+	var placements []pklayers.Placement
 	for _, one := range counts {
 		for i := range one.n {
 			id := pkid.TargetID(fmt.Sprintf("%s-%s-%d", one.dc, one.kind, i))
-			cards = append(cards, pklayers.Placement{ID: id, DataCenter: one.dc, Kind: one.kind})
+			placements = append(placements, pklayers.Placement{ID: id, DataCenter: one.dc, Kind: one.kind})
 		}
 	}
-	laid := pklayers.Plan(m, cards, time.Minute)
+	plan := pklayers.Plan(m, placements, time.Minute)
 	var out []pkreplica.Info
-	for _, c := range cards {
-		out = append(out, pkreplica.Info{ID: c.ID, DataCenter: c.DataCenter, Kind: c.Kind, Held: laid[c.ID]})
+	for _, c := range placements {
+		out = append(out, pkreplica.Info{ID: c.ID, DataCenter: c.DataCenter, Kind: c.Kind, Held: plan[c.ID]})
 	}
 	return out
 }
@@ -96,8 +96,8 @@
 func answerTime(m *pklayers.Model, p targetPath) time.Duration {
 	const wait, busy = 740 * time.Microsecond, 1.24
 	token := time.Duration(0)
-	for i, part := range p.parts {
-		token += wait + time.Duration(busy*float64(m.StepTime(p.targets[i].Kind, part.Layers.Len())))
+	for i, stage := range p.stages {
+		token += wait + time.Duration(busy*float64(m.StepTime(p.targets[i].Kind, stage.Layers.Len())))
 	}
 	return time.Duration(m.AnswerTokens) * token
 }
@@ -113,7 +113,7 @@
 	for i := range l.entries {
 		d, _ := poolDaemon(infos...)
 		d.settings.DataCenter = centers[i%len(centers)]
-		d.crowding = l.crowding
+		d.memoryPenalty = l.memoryPenalty
 		d.members.reportedCount = l.entries
 		d.gossip.withHubs.Store(true)
 		daemons = append(daemons, d)
@@ -141,7 +141,7 @@
 			out.refused++
 			continue
 		}
-		p.reserve(now, m, &d.pipes, tokens, tokens, d.gossip.reportDelay())
+		p.reserve(now, m, &d.linkUsage, tokens, tokens, d.gossip.reportDelay())
 		took := answerTime(m, p)
 		all += took
 		served++
@@ -184,21 +184,21 @@
 	return fullest
 }
 
-// Guards against a load policy that moves requests off fast engines which still have room: they
+// Guards against a load policy that moves requests off fast engines which still have capacity: they
 // would take much longer on slow ones. The policy in force must be faster than the early one,
 // refuse nothing, and overcommit memory by no more than the unreported requests.
-func TestRequestsStayOnFastEnginesWhileThereIsRoom(t *testing.T) {
+func TestRequestsStayOnFastEnginesWhileTheyHaveCapacity(t *testing.T) {
 	load := loadSim{entries: 67, perSecond: 190, duration: 8 * time.Second, reportDelay: 450 * time.Millisecond}
 	early, free := load, load
-	early.crowding, free.crowding = pklayers.EarlyPenalty, pklayers.InversePenalty
+	early.memoryPenalty, free.memoryPenalty = pklayers.EarlyPenalty, pklayers.InversePenalty
 	// Requests of a data centre that are not yet reported may come on top of the limit.
 	unreported := load.perSecond / 3 * load.reportDelay.Seconds() * 940
-	most := maxMemoryShare + unreported/float64(mixedModel().EngineTokens)
+	limit := maxMemoryShare + unreported/float64(mixedModel().EngineTokens)
 	for seed := range uint64(3) {
 		before, after := early.run(seed), free.run(seed)
 		t.Logf("seed %d: early %+v, free %+v", seed, before, after)
 		assert.Equal(t, after.refused, 0)
-		assert.Assert(t, after.fullest < most, "%f of an engine's memory, %f at most", after.fullest, most)
+		assert.Assert(t, after.fullest < limit, "%f of an engine's memory, %f at most", after.fullest, limit)
 		assert.Assert(t, after.mean < before.mean*95/100, "%v, %v before", after.mean, before.mean)
 	}
 }
--- a/pkedge/members.go
+++ b/pkedge/members.go
@@ -25,8 +25,8 @@
 // members holds the entries of the fleet, the owner of the pools and this daemon's lease.
 type members struct {
 	mu sync.Mutex
-	// goneSince is the time since when a former member is gone; zero for present members.
-	goneSince map[pkid.EntryID]time.Time
+	// leftAt holds when each former member left; zero for present members.
+	leftAt map[pkid.EntryID]time.Time
 	// peers are the members that accept messages.
 	peers map[pkid.EntryID]pkshare.Member
 	// owner is the daemon that owns the pools, as of ownerRevision.
@@ -50,7 +50,7 @@
 
 // count returns the number of daemons that share limits of the whole fleet; reported is the number
 // reported by hubs, or zero. Without hubs it returns the larger of the last reported and the listed
-// number: shares that are too small keep the limit.
+// number, since a count that is too high only makes each share smaller and so keeps the limit.
 func (m *members) count(now time.Time, reported int) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -59,7 +59,7 @@
 		return reported
 	}
 	listed := 0
-	for _, gone := range m.goneSince {
+	for _, gone := range m.leftAt {
 		if gone.IsZero() || now.Sub(gone) < memberRetention {
 			listed++
 		}
@@ -107,9 +107,9 @@
 			m.mu.Lock()
 			defer m.mu.Unlock()
 			m.owner, m.ownerRevision, m.ownRevision, m.known, m.reportedCount = "", 0, 0, true, 0
-			for id, gone := range m.goneSince {
+			for id, gone := range m.leftAt {
 				if gone.IsZero() {
-					m.goneSince[id] = now
+					m.leftAt[id] = now
 					delete(m.peers, id)
 				}
 			}
@@ -159,19 +159,19 @@
 	if !found {
 		return
 	}
-	if m.goneSince == nil {
-		m.goneSince = map[pkid.EntryID]time.Time{}
+	if m.leftAt == nil {
+		m.leftAt = map[pkid.EntryID]time.Time{}
 		m.peers = map[pkid.EntryID]pkshare.Member{}
 	}
 	id := pkid.EntryID(name)
 	if ev.Deleted {
-		m.goneSince[id] = now
+		m.leftAt[id] = now
 		delete(m.peers, id)
 		return
 	}
-	m.goneSince[id] = time.Time{}
+	m.leftAt[id] = time.Time{}
 	one := pkshare.Member{ID: id}
-	// A member whose value cannot be read, such as one of another build, still counts.
+	// A member whose value cannot be read, such as one written by another version, still counts.
 	if err := json.Unmarshal(ev.Item.Value, &one); err == nil && one.Addr != "" {
 		m.peers[id] = one
 	}
--- a/pkedge/metrics.go
+++ b/pkedge/metrics.go
@@ -8,19 +8,19 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// metrics are the metrics served at /metrics. Accounts, routes and targets are not labels, which
-// would make thousands of series.
+// metrics are the metrics served at /metrics. Accounts, routes and targets are not used as labels,
+// to bound the number of series.
 type metrics struct {
-	registry     *prometheus.Registry
-	requests     *prometheus.CounterVec
-	failed       *prometheus.CounterVec
-	orders       *prometheus.CounterVec
-	unusable     *prometheus.CounterVec
-	storeCalls   *prometheus.CounterVec
-	watchEnds    *prometheus.CounterVec
-	repeated     prometheus.Counter
-	storeReturns prometheus.Counter
-	firstEvent   prometheus.Histogram
+	registry      *prometheus.Registry
+	requests      *prometheus.CounterVec
+	failed        *prometheus.CounterVec
+	orders        *prometheus.CounterVec
+	unusable      *prometheus.CounterVec
+	storeCalls    *prometheus.CounterVec
+	watchEnds     *prometheus.CounterVec
+	repeated      prometheus.Counter
+	storeRestores prometheus.Counter
+	firstEvent    prometheus.Histogram
 }
 
 func newMetrics(d *Daemon) *metrics {
@@ -28,15 +28,15 @@
 		return prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, labels)
 	}
 	m := &metrics{
-		registry:     prometheus.NewRegistry(),
-		requests:     counter("peridotknot_requests_total", "Requests by kind and outcome.", "kind", "outcome"),
-		failed:       counter("peridotknot_sends_failed_total", "Failed sends by verdict and reason.", "verdict", "reason"),
-		orders:       counter("peridotknot_orders_total", "Orders to engines by outcome.", "outcome"),
-		unusable:     counter("peridotknot_replica_entries_unusable_total", "Changed entries of the list that name no replica to use, by the field at fault.", "field"),
-		storeCalls:   counter("peridotknot_store_calls_total", "Calls to the store by kind, asker and outcome.", "call", "asker", "outcome"),
-		watchEnds:    counter("peridotknot_watches_ended_total", "Watches at the store that ended without an answer to go on from, by reason.", "watch", "reason"),
-		repeated:     prometheus.NewCounter(prometheus.CounterOpts{Name: "peridotknot_sends_repeated_total", Help: "Sends beyond the first of a request."}),
-		storeReturns: prometheus.NewCounter(prometheus.CounterOpts{Name: "peridotknot_store_returns_total", Help: "Returns of the store from an older copy of itself."}),
+		registry:      prometheus.NewRegistry(),
+		requests:      counter("peridotknot_requests_total", "Requests by kind and outcome.", "kind", "outcome"),
+		failed:        counter("peridotknot_sends_failed_total", "Failed sends by verdict and reason.", "verdict", "reason"),
+		orders:        counter("peridotknot_orders_total", "Orders to engines by outcome.", "outcome"),
+		unusable:      counter("peridotknot_replica_entries_unusable_total", "Changed entries of the list that name no replica to use, by the field at fault.", "field"),
+		storeCalls:    counter("peridotknot_store_calls_total", "Calls to the store by kind, asker and outcome.", "call", "asker", "outcome"),
+		watchEnds:     counter("peridotknot_watches_ended_total", "Watches at the store that ended without an answer to go on from, by reason.", "watch", "reason"),
+		repeated:      prometheus.NewCounter(prometheus.CounterOpts{Name: "peridotknot_sends_repeated_total", Help: "Sends beyond the first of a request."}),
+		storeRestores: prometheus.NewCounter(prometheus.CounterOpts{Name: "peridotknot_store_returns_total", Help: "Returns of the store from an older copy of itself."}),
 		firstEvent: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "peridotknot_first_event_seconds", Help: "Time from a request to its first event.",
 			Buckets: prometheus.ExponentialBuckets(0.01, 1.6, 16),
@@ -45,9 +45,9 @@
 	gauge := func(name, help string, value func() float64) prometheus.Collector {
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value)
 	}
-	m.registry.MustRegister(m.requests, m.failed, m.orders, m.unusable, m.storeCalls, m.watchEnds, m.repeated, m.storeReturns, m.firstEvent,
+	m.registry.MustRegister(m.requests, m.failed, m.orders, m.unusable, m.storeCalls, m.watchEnds, m.repeated, m.storeRestores, m.firstEvent,
 		gauge("peridotknot_config_version", "Version of the configuration in force.", func() float64 {
-			if t := d.book.Table(); t != nil {
+			if t := d.configs.Table(); t != nil {
 				return float64(t.Version)
 			}
 			return 0
--- a/pkedge/watch_test.go
+++ b/pkedge/monitor_test.go
@@ -37,18 +37,18 @@
 // crashed.
 func TestEngineCrashEndsHeldConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d, _ := poolDaemon(engine("mortal", "a", 0, 80))
-		one, _ := d.roster.Target("mortal")
+		d, _ := poolDaemon(engine("crashing", "a", 0, 80))
+		one, _ := d.roster.Target("crashing")
 		began := time.Now()
-		const idle, life = 1500 * time.Millisecond, 10 * time.Second
-		d.Engines = crashingEngines{idleTimeout: idle, crashAt: began.Add(life)}
+		const idle, uptime = 1500 * time.Millisecond, 10 * time.Second
+		d.Engines = crashingEngines{idleTimeout: idle, crashAt: began.Add(uptime)}
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			d.watchEngine(ctx, one)
+			d.monitorEngine(ctx, one)
 		}()
-		time.Sleep(life - time.Nanosecond)
+		time.Sleep(uptime - time.Nanosecond)
 		synctest.Wait()
 		assert.Assert(t, !one.IsGone(time.Now()) && !one.Avoided(time.Now()))
 		time.Sleep(time.Nanosecond)
--- a/pkedge/node_test.go
+++ b/pkedge/node_test.go
@@ -173,7 +173,7 @@
 	return reply{status: resp.StatusCode, body: string(raw), header: resp.Header, closes: resp.Close, err: err}
 }
 
-// newPool starts a world with a pool of six engines.
+// newPool starts a platform with a pool of six engines.
 func newPool(t *testing.T) (*platformtest.Platform, map[string]*platformtest.Replica) {
 	t.Helper()
 	w := platformtest.NewPlatform()
@@ -239,8 +239,8 @@
 	}
 }
 
-// link starts a link to the store of a world, which can be interrupted.
-func link(t *testing.T, w *platformtest.Platform) *platformtest.Proxy {
+// storeProxy starts a proxy to the store of a platform, which can be interrupted.
+func storeProxy(t *testing.T, w *platformtest.Platform) *platformtest.Proxy {
 	t.Helper()
 	l := platformtest.NewProxy(w.Store.Addr())
 	t.Cleanup(l.Close)
--- a/pkedge/own.go
+++ b/pkedge/own.go
@@ -23,7 +23,7 @@
 	// maxConcurrentOrders bounds the engines that receive an order at the same time.
 	maxConcurrentOrders = 8
 	// takeoverDelay is how long the pools must be without an owner before an entry that is not
-	// among the first of its data centre tries to become it.
+	// designated in its data centre tries to become it.
 	takeoverDelay = 3 * time.Second
 	// acquireRetryDelay is the delay after a failed write of the owner's key; within that time a
 	// lease renewal shows whether the store answers again.
@@ -36,10 +36,10 @@
 func (d *Daemon) reconcilePools(ctx context.Context) {
 	pktimer.Every(ctx, reconcileInterval, func(ctx context.Context) {
 		if !d.ensureOwnership(ctx) {
-			d.pendingOrders = nil
+			d.schedulers = nil
 			return
 		}
-		table := d.book.Table()
+		table := d.configs.Table()
 		if table == nil || !d.listed.Load() {
 			return
 		}
@@ -79,9 +79,9 @@
 }
 
 // mayAcquire reports whether this daemon may try to become the owner at now. To bound the writes to
-// the store, the first entries of each data centre try at once and the others only after
-// takeoverDelay. An entry that hubs keep informed learns late of a new owner and does not try, and a
-// daemon whose write has failed waits for acquireRetryDelay.
+// the store, the designated entries of each data centre try at once and the others only after
+// takeoverDelay. An entry served by a hub learns late of a new owner and does not try, and a daemon
+// whose write has failed waits for acquireRetryDelay.
 func (d *Daemon) mayAcquire(now time.Time) bool {
 	if now.Before(d.nextAcquire) || !d.era.mayTakeOver(now) {
 		return false
@@ -93,8 +93,8 @@
 	if d.ownerlessSince.IsZero() {
 		d.ownerlessSince = now
 	}
-	first := d.gossip.first.Load() && now.Sub(d.started) >= rolesKnownAfter
-	return first || now.Sub(d.ownerlessSince) >= takeoverDelay
+	designated := d.gossip.designated.Load() && now.Sub(d.started) >= roleSettleTime
+	return designated || now.Sub(d.ownerlessSince) >= takeoverDelay
 }
 
 // writeOwnerKey writes the owner's key under this daemon's lease. A key of its own, left by a
@@ -126,21 +126,21 @@
 	return true
 }
 
-// poolOrders returns the orders in progress of a pool.
-func (d *Daemon) poolOrders(s pkid.ServiceID) *pkowner.Scheduler {
-	if d.pendingOrders == nil {
-		d.pendingOrders = map[pkid.ServiceID]*pkowner.Scheduler{}
+// poolScheduler returns the scheduler of a pool.
+func (d *Daemon) poolScheduler(s pkid.ServiceID) *pkowner.Scheduler {
+	if d.schedulers == nil {
+		d.schedulers = map[pkid.ServiceID]*pkowner.Scheduler{}
 	}
-	if d.pendingOrders[s] == nil {
-		d.pendingOrders[s] = &pkowner.Scheduler{}
+	if d.schedulers[s] == nil {
+		d.schedulers[s] = &pkowner.Scheduler{}
 	}
-	return d.pendingOrders[s]
+	return d.schedulers[s]
 }
 
-// reconcilePool orders what differs from the plan of a pool.
+// reconcilePool sends orders to the engines whose layers differ from the plan of their pool.
 func (d *Daemon) reconcilePool(ctx context.Context, s pkid.ServiceID, m *pklayers.Model) {
-	orders := d.poolOrders(s)
-	tasks := orders.Next(time.Now(), m, d.liveEngines(time.Now(), s, m))
+	scheduler := d.poolScheduler(s)
+	tasks := scheduler.Next(time.Now(), m, d.liveEngines(time.Now(), s, m))
 	outcomes := make([]pkowner.Outcome, len(tasks))
 	slots := make(chan struct{}, maxConcurrentOrders)
 	var wg sync.WaitGroup
@@ -153,7 +153,7 @@
 	}
 	wg.Wait()
 	for i, task := range tasks {
-		orders.RecordOutcome(time.Now(), m, task, outcomes[i])
+		scheduler.RecordOutcome(time.Now(), m, task, outcomes[i])
 	}
 }
 
@@ -163,7 +163,7 @@
 	defer cancel()
 	report, err := d.readReport(ctx, task.Target)
 	if err != nil {
-		d.log.Warn("engine report was not read", "target", task.Target.ID, "error", err)
+		d.log.Warn("engine report was not read, no order sent", "target", task.Target.ID, "error", err)
 		return pkowner.Rejected
 	}
 	if report.Busy || task.Target.IsGone(time.Now()) {
@@ -211,9 +211,9 @@
 }
 
 // suspectRestarted suspects the previous start of an engine that has lost all its layers, here and
-// at the other entries, which moves its streams off it.
+// at the other entries, so that its streams are moved off it.
 func (d *Daemon) suspectRestarted(now time.Time, t *pkreplica.Target) {
-	s := suspicion{until: now.Add(suspectTTL), fault: faultGone, born: t.Born}
+	s := suspicion{until: now.Add(suspectTTL), fault: faultGone, startTime: t.Born}
 	d.applySuspicion(t, s)
 	d.gossip.announceSuspicion(t.ID, s)
 }
--- a/pkedge/pace.go
+++ b/pkedge/pace.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// slowReportInterval is how often an entry polls an engine that it watches and that is known to
-	// be slow; two entries watch each engine.
+	// slowReportInterval is how often an entry polls an engine that it monitors and that is known
+	// to be slow; two entries monitor each engine.
 	slowReportInterval = time.Second
 	// reportInterval is the same for other engines. Most engines that become slow are found sooner,
 	// since their streams fall silent and their liveness is checked.
@@ -26,8 +26,8 @@
 	reportTimeout = 200 * time.Millisecond
 )
 
-// pollPaces polls the engines that this entry watches for their pace: how many times as long as its
-// kind an engine takes for a step.
+// pollPaces polls the engines that this entry monitors for their pace, the step time relative to
+// that declared for their kind.
 //
 // An engine that is slow for some seconds shows it only in its report, and paths chosen by the
 // declared speed of its kind would keep using it. Two entries of each data centre poll on behalf of
@@ -38,7 +38,7 @@
 	defer wg.Wait()
 	pktimer.Every(ctx, reportScanInterval, func(ctx context.Context) {
 		now := time.Now()
-		wanted := d.watchedEngines(now)
+		wanted := d.monitoredEngines(now)
 		for one := range due {
 			if _, still := wanted[one]; !still {
 				delete(due, one)
@@ -78,7 +78,7 @@
 }
 
 // updatePace records the pace in an engine's report, which was requested at the given time, and
-// tells the other entries at once if it has changed.
+// reports it to the other entries at once if it has changed.
 func (d *Daemon) updatePace(t *pkreplica.Target, report pkowner.Report, requested time.Time) {
 	factor := pkpace.Factor(report.Factor)
 	if !d.paces.Record(time.Now(), t.ID, report.Born, factor, requested) {
@@ -88,10 +88,10 @@
 	d.gossip.requestSend()
 }
 
-// mergePaces merges the paces reported by another entry, and forwards changes if there are hubs.
-func (d *Daemon) mergePaces(now time.Time, reports []pkpace.Observation) {
+// mergePaces merges the observations of another entry, and forwards changes if there are hubs.
+func (d *Daemon) mergePaces(now time.Time, observations []pkpace.Observation) {
 	changed := false
-	for _, r := range reports {
+	for _, r := range observations {
 		if d.paces.Merge(now, r) {
 			changed = true
 		}
--- a/pkedge/pace_test.go
+++ b/pkedge/pace_test.go
@@ -20,7 +20,7 @@
 	for i := range streamsPerRound {
 		id := fmt.Sprintf("%s-%d", round, i)
 		assert.Equal(t, n.do(t, http.MethodPost, "/talk/1", id, platformtest.Key, 2).status, http.StatusOK)
-		for engine := range runsAt(w, id) {
+		for engine := range enginesOf(w, id) {
 			out[engine] = true
 		}
 	}
--- a/pkedge/link.go
+++ b/pkedge/peerlink.go
@@ -19,21 +19,22 @@
 	redialMax  = 2 * time.Second
 )
 
-// link sends messages to one peer.
-type link struct {
+// peerLink sends messages to one peer.
+type peerLink struct {
 	cancel context.CancelFunc
 	// role is the role of the peer towards this entry.
 	role pkshare.Role
 	// out holds the newest message that was not sent yet.
 	out chan []byte
-	// connected is set by a new connection, whose peer has received nothing yet.
-	connected atomic.Bool
+	// newConn is set by a new connection and cleared by the next broadcast, which sends a complete
+	// message over it.
+	newConn atomic.Bool
 	// incomplete is set if the peer may have missed a message; only sendToPeers uses it.
 	incomplete bool
 }
 
 // enqueue queues a message, and drops an earlier one that was not sent yet.
-func (l *link) enqueue(raw []byte) {
+func (l *peerLink) enqueue(raw []byte) {
 	if raw == nil {
 		return
 	}
@@ -46,7 +47,7 @@
 	l.out <- raw
 }
 
-func (d *Daemon) runLink(ctx context.Context, addr string, l *link) {
+func (d *Daemon) runPeerLink(ctx context.Context, addr string, l *peerLink) {
 	pause := redialBase
 	for ctx.Err() == nil {
 		began := time.Now()
@@ -54,7 +55,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		d.log.Info("peer connection failed", "addr", addr, "error", err)
+		d.log.Info("peer connection failed, connecting again", "addr", addr, "error", err)
 		if time.Since(began) > redialMax {
 			pause = redialBase
 		}
@@ -64,22 +65,22 @@
 }
 
 // runConn sends the queued messages over a new connection until it breaks.
-func (d *Daemon) runConn(ctx context.Context, addr string, l *link) error {
-	dial, cancel := context.WithTimeout(ctx, dialTimeout)
+func (d *Daemon) runConn(ctx context.Context, addr string, l *peerLink) error {
+	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	c, err := d.gossip.net.Dial(dial, addr)
+	c, err := d.gossip.transport.Dial(dialCtx, addr)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = c.Close() }() // nothing is pending on a closed connection
+	defer func() { _ = c.Close() }() // nothing is pending on it
 	ctx, lost := context.WithCancel(ctx)
 	defer lost()
 	d.gossip.wg.Go(func() {
-		// Peers send nothing on this connection; the read ends with it.
+		// The read returns only when the connection ends, since peers send nothing on it.
 		_, _ = c.Receive(ctx)
 		lost()
 	})
-	l.connected.Store(true)
+	l.newConn.Store(true)
 	for {
 		select {
 		case <-ctx.Done():
--- a/pkedge/plain.go
+++ b/pkedge/plain.go
@@ -49,12 +49,12 @@
 	return r.Services[0].Service
 }
 
-func (c *call) retryTerms() pkretry.Limits {
-	return c.retry.Load().terms(c.entryCount(c.began))
+func (c *call) retryLimits() pkretry.Limits {
+	return c.retry.Load().limits(c.entryCount(c.began))
 }
 
-// plain serves a call to a plain service.
-func (c *call) plain(ctx context.Context) error {
+// servePlain serves a call to a plain service.
+func (c *call) servePlain(ctx context.Context) error {
 	verdict := pkverdict.NotRun
 	var cause error
 	for c.sends < maxSends && ctx.Err() == nil {
@@ -67,21 +67,21 @@
 			break
 		}
 		c.sends++
-		a, body, err := c.sendTo(ctx, t)
+		resp, body, err := c.sendTo(ctx, t)
 		if err == nil {
 			c.recordSuccess(time.Now())
-			return c.forward(a, body)
+			return c.forward(resp, body)
 		}
-		c.suspectFailedSend(time.Now(), err, t)
+		c.recordIfInterrupted(time.Now(), err, t)
 		cause = err
 		verdict = pkverdict.Join(verdict, c.recordSendFailure(t, err))
-		if verdict != pkverdict.NotRun && a != nil && c.sends >= c.route.MaxAttempts {
+		if verdict != pkverdict.NotRun && resp != nil && c.sends >= c.route.MaxAttempts {
 			// The target's own error answer is forwarded unchanged.
-			return c.forward(a, body)
+			return c.forward(resp, body)
 		}
 		if !verdict.MayRetry(c.route.Retryable()) {
-			if a != nil {
-				return c.forward(a, body)
+			if resp != nil {
+				return c.forward(resp, body)
 			}
 			break
 		}
@@ -114,7 +114,7 @@
 // chargeRetry charges a send to the retry budget, unless that was done already, and reports whether
 // the budget allows it.
 func (c *call) chargeRetry() bool {
-	if !c.charged && !c.budgets.of(c.service).TryRetry(time.Now(), c.retryTerms()) {
+	if !c.charged && !c.budgets.of(c.service).TryRetry(time.Now(), c.retryLimits()) {
 		return false
 	}
 	c.charged = false
@@ -162,33 +162,34 @@
 	}
 	t.Begin(began, 0, 0, 0)
 	defer t.Done(0)
-	a, err := c.Sender.Do(ctx, t.Addr, &c.req, pkforward.SendOptions{TimeBudget: left, Target: t.ID, Account: c.account})
-	if a != nil && a.Load >= 0 {
-		t.RecordReport(time.Now(), a.Load)
+	resp, err := c.Sender.Do(ctx, t.Addr, &c.req, pkforward.SendOptions{TimeBudget: left, Target: t.ID, Account: c.account})
+	if resp != nil && resp.Load >= 0 {
+		t.RecordReport(time.Now(), resp.Load)
 	}
 	if err != nil {
-		c.recordTargetFailure(t, began, a, err)
+		c.recordTargetFailure(t, began, resp, err)
 		return nil, nil, err
 	}
-	defer a.Close()
-	body, err := a.ReadAll(maxBufferedAnswer)
+	defer resp.Close()
+	body, err := resp.ReadAll(maxBufferedAnswer)
 	if err != nil {
 		t.RecordFailure(time.Now())
 		return nil, nil, err
 	}
 	took := time.Since(began)
 	switch {
-	case a.Status >= http.StatusInternalServerError:
-		// It may have run. A target that fails quickly must not look like a fast one.
+	case resp.Status >= http.StatusInternalServerError:
+		// The call may have run. Recorded as slow, so that a target that fails quickly is not
+		// preferred.
 		t.RecordSlow(took * 2)
-		return a, body, &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: errTargetFailure}
-	case a.Status/100 == 2 && !a.Sealed, a.Header.Get("Content-Encoding") != "":
+		return resp, body, &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: errTargetFailure}
+	case resp.Status/100 == 2 && !resp.Sealed, resp.Header.Get("Content-Encoding") != "":
 		// Something between the target and the router altered the answer.
 		t.RecordFailure(time.Now())
 		return nil, nil, &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: errAlteredAnswer}
 	}
 	t.RecordSuccess(took)
-	return a, body, nil
+	return resp, body, nil
 }
 
 // errAlteredAnswer marks an answer without the target's seal or with a content encoding.
@@ -196,14 +197,14 @@
 
 // recordTargetFailure backs off from a target after a failed send or records it as slow. It does
 // nothing if the caller has left.
-func (c *call) recordTargetFailure(t *pkreplica.Target, began time.Time, a *pkforward.Response, err error) {
+func (c *call) recordTargetFailure(t *pkreplica.Target, began time.Time, resp *pkforward.Response, err error) {
 	now := time.Now()
 	switch {
 	case c.r.Context().Err() != nil:
-	case a != nil && a.Status == http.StatusMisdirectedRequest:
+	case resp != nil && resp.Status == http.StatusMisdirectedRequest:
 		// Another replica has the address: the target is gone.
 		t.Avoid(now.Add(misdirectedTTL))
-	case a != nil:
+	case resp != nil:
 		// The target is full.
 		t.RecordSlow(now.Sub(began) * 2)
 	case errors.Is(err, context.DeadlineExceeded):
@@ -226,17 +227,17 @@
 	return until
 }
 
-// misdirectedTTL is how long a target is avoided that answered a request as misdirected. Its list
-// entry expires or changes within that time.
+// misdirectedTTL is how long a target is avoided that answered a request as misdirected. Its record
+// expires or changes within that time.
 const misdirectedTTL = 5 * time.Second
 
 // forward sends a complete answer of a target to the caller.
-func (c *call) forward(a *pkforward.Response, body []byte) error {
+func (c *call) forward(resp *pkforward.Response, body []byte) error {
 	h := c.w.Header()
-	pkforward.CopyHeaders(h, a.Header)
+	pkforward.CopyHeaders(h, resp.Header)
 	h["Content-Length"] = []string{strconv.Itoa(len(body))}
 	c.headSent = true
-	c.w.WriteHeader(a.Status)
+	c.w.WriteHeader(resp.Status)
 	if _, err := c.w.Write(body); err != nil {
 		return errCallerLeft
 	}
--- a/pkedge/target_test.go
+++ b/pkedge/plain_test.go
@@ -71,7 +71,7 @@
 					assert.Equal(t, got.header.Get(platformtest.SealHeader), "s")
 				}
 				if got.status >= 500 && got.status != 500 {
-					assert.Equal(t, got.header.Get(platformtest.SealHeader), "", "an error answer of the router is not signed")
+					assert.Equal(t, got.header.Get(platformtest.SealHeader), "", "an error answer of the router is not sealed")
 				}
 				for _, run := range runs {
 					assert.Equal(t, run.Account, platformtest.Account)
@@ -114,7 +114,7 @@
 }
 
 // Guards against each entry finding a refused connection by a caller of its own: the first one must
-// tell the others.
+// report it to the others.
 func TestPeersLearnOfARefusedConnection(t *testing.T) {
 	t.Parallel()
 	w := platformtest.NewPlatform()
--- a/pkedge/poison_test.go
+++ b/pkedge/poison_test.go
@@ -15,9 +15,9 @@
 const (
 	// quarantinedMetric is the number of requests that an entry keeps from replicas.
 	quarantinedMetric = "peridotknot_quarantined_requests"
-	// maxEnded is how many replicas a poison request may crash: three until it is quarantined, and
-	// one more by a send in progress.
-	maxEnded = 4
+	// maxCrashed is how many replicas a poison request may crash: three until it is quarantined,
+	// and one more by a send in progress.
+	maxCrashed = 4
 )
 
 // poisonRequest is a request that crashes each replica that runs it, sent again and again.
@@ -85,7 +85,7 @@
 	for _, n := range nodes {
 		answers = append(answers, p.send(t, n))
 	}
-	assert.Assert(t, len(p.w.CrashedReplicas()) <= maxEnded, "%d replicas ended", len(p.w.CrashedReplicas()))
+	assert.Assert(t, len(p.w.CrashedReplicas()) <= maxCrashed, "%d replicas crashed", len(p.w.CrashedReplicas()))
 	assert.Equal(t, len(p.w.CrashedReplicas()), before)
 	for _, got := range answers {
 		assert.NilError(t, got.err)
@@ -188,7 +188,8 @@
 	return w, p, one, two
 }
 
-// The same for a plain service, whose replicas crash under an idempotent call.
+// Guards against an idempotent call that crashes one replica of a plain service after another:
+// after three crashes no entry may send it.
 func TestRequestThatCrashesPlainReplicasIsQuarantined(t *testing.T) {
 	t.Parallel()
 	_, p, one, two := quarantinedPlainRequest(t)
@@ -196,7 +197,7 @@
 	assert.Equal(t, one.do(t, http.MethodGet, "/read/1", "sound", platformtest.Key, 0).status, http.StatusOK)
 }
 
-// Guards against losing the quarantine when the entries that saw the crashes stop, one by one or
+// Guards against losing the quarantine when the entries that found the crashes stop, one by one or
 // all at once: entries that start later must load it.
 func TestNewEntriesLoadTheQuarantine(t *testing.T) {
 	t.Parallel()
--- a/pkedge/quarantine.go
+++ b/pkedge/quarantine.go
@@ -54,8 +54,8 @@
 	mu sync.Mutex
 	// interrupted are sends whose replica may have crashed.
 	interrupted []interruptedSend
-	// unsaved are requests for which this entry saw a crash and that the store is not known to
-	// hold.
+	// unsaved are requests for which this entry found a crash and that the store is not known to
+	// hold. After a restore of the store, designated entries save all quarantined requests.
 	unsaved map[pkquarantine.Digest]bool
 }
 
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// quarantineRejection returns the final answer of a quarantined request. The verdict tells whether
-// a replica may have run the request in this attempt.
+// quarantineRejection returns the final answer of a quarantined request. The verdict is that of the
+// sends so far.
 func (c *call) quarantineRejection(now time.Time, verdict pkverdict.Verdict) *rejection {
 	out := &rejection{status: http.StatusBadGateway, reason: "quarantined"}
 	if verdict == pkverdict.NotRun {
@@ -91,11 +91,10 @@
 	return out
 }
 
-// suspectFailedSend records an interrupted send if its error at now may come from a crash of the
+// recordIfInterrupted records an interrupted send if its error at now may come from a crash of the
 // target: not if no replica ran the request, the target answered, the time was up or the caller has
-// left. Only the target itself is suspected, since the connection does not end with the engines
-// behind it.
-func (c *call) suspectFailedSend(now time.Time, err error, t *pkreplica.Target) {
+// left. Only this target is recorded, since the connection does not end with the engines behind it.
+func (c *call) recordIfInterrupted(now time.Time, err error, t *pkreplica.Target) {
 	var failure *pkverdict.Error
 	switch {
 	case !errors.As(err, &failure) || failure.Verdict == pkverdict.NotRun:
@@ -168,7 +167,7 @@
 }
 
 // probe connects to a target. A refused connection means that the process is gone; an accepted one
-// clears the sends interrupted there before. Entries watch engines but not plain services, which
+// clears the sends interrupted there before. Entries monitor engines but not plain services, which
 // only this probe covers.
 func (d *Daemon) probe(ctx context.Context, t *pkreplica.Target) {
 	start := time.Now()
@@ -230,8 +229,9 @@
 }
 
 // saveQuarantined writes quarantined requests to the store, so that they survive a restart of all
-// entries. Only entries that saw a crash write, and only requests that the store lacks. Entries
-// read them at start together with the members.
+// entries. Only entries that found a crash write, and only requests that the store lacks; after a
+// restore of the store, designated entries write all of them. Entries read them at start together
+// with the members.
 func (d *Daemon) saveQuarantined(ctx context.Context) {
 	var next time.Time
 	pktimer.Every(ctx, saveInterval, func(ctx context.Context) {
@@ -241,7 +241,7 @@
 		}
 		for _, one := range d.unsavedCases(now) {
 			if err := d.save(ctx, one); err != nil {
-				d.log.Warn("a quarantined request was not saved", "digest", one.Digest.String(), "error", err)
+				d.log.Warn("a quarantined request was not saved and will be tried again", "digest", one.Digest.String(), "error", err)
 				next = time.Now().Add(saveRetryDelay)
 				return
 			}
@@ -287,7 +287,7 @@
 }
 
 // loadSaved loads the quarantined requests among the daemons' own keys. Values that cannot be read,
-// such as those of another build, are skipped.
+// such as those written by another version, are skipped.
 func (d *Daemon) loadSaved(now time.Time, items []pkstore.Item) {
 	var cases []pkquarantine.Case
 	for _, one := range items {
--- a/pkedge/quarantine_fleet_test.go
+++ b/pkedge/quarantine_fleet_test.go
@@ -21,12 +21,13 @@
 	byAddr  map[string]*Daemon
 	// peers are the members as all entries read them from the store.
 	peers map[pkid.EntryID]pkshare.Member
-	// roles are the peers that each entry sends to, roundsPlayed counts the rounds.
-	roles        map[*Daemon]map[string]pkshare.Role
-	roundsPlayed int
-	// olderBuild entries do not support the quarantine, partitioned ones neither send nor receive.
-	olderBuild  map[*Daemon]bool
-	partitioned map[*Daemon]bool
+	// roles are the peers that each entry sends to, rounds counts the rounds.
+	roles  map[*Daemon]map[string]pkshare.Role
+	rounds int
+	// olderVersion entries do not support the quarantine, partitioned ones neither send nor
+	// receive.
+	olderVersion map[*Daemon]bool
+	partitioned  map[*Daemon]bool
 	// lossRate is the share of messages that are lost.
 	lossRate float64
 	rand     *rand.Rand
@@ -37,7 +38,7 @@
 }
 
 func newSimFleet(dataCenters, each int) *simFleet {
-	f := &simFleet{now: time.Now(), byAddr: map[string]*Daemon{}, peers: map[pkid.EntryID]pkshare.Member{}, roles: map[*Daemon]map[string]pkshare.Role{}, olderBuild: map[*Daemon]bool{}, partitioned: map[*Daemon]bool{}, sentBytes: map[*Daemon]int{}, rand: rand.New(rand.NewPCG(1, 2))}
+	f := &simFleet{now: time.Now(), byAddr: map[string]*Daemon{}, peers: map[pkid.EntryID]pkshare.Member{}, roles: map[*Daemon]map[string]pkshare.Role{}, olderVersion: map[*Daemon]bool{}, partitioned: map[*Daemon]bool{}, sentBytes: map[*Daemon]int{}, rand: rand.New(rand.NewPCG(1, 2))}
 	for dc := range dataCenters {
 		for i := range each {
 			f.add(pkid.DataCenter('a'+rune(dc)), i, 0.2+0.6*float64(i/(each-2)))
@@ -61,7 +62,7 @@
 
 // rolesOf returns the peers that an entry sends to, which it updates every few messages.
 func (f *simFleet) rolesOf(d *Daemon) map[string]pkshare.Role {
-	if f.roles[d] == nil || f.roundsPlayed%6 == 0 {
+	if f.roles[d] == nil || f.rounds%6 == 0 {
 		f.roles[d] = d.roles(f.now)
 	}
 	return f.roles[d]
@@ -71,7 +72,7 @@
 func (f *simFleet) round(t *testing.T) {
 	t.Helper()
 	f.now = f.now.Add(pkshare.HubInterval)
-	f.roundsPlayed++
+	f.rounds++
 	for _, from := range f.entries {
 		if f.partitioned[from] {
 			continue
@@ -84,12 +85,12 @@
 			if role != pkshare.Peer {
 				m.Sum = &pkshare.Sum{Global: role == pkshare.Spoke}
 			}
-			from.addMissing(f.now, &m, to.settings.Entry, role)
-			if f.olderBuild[from] {
+			from.addCatchUp(f.now, &m, to.settings.Entry, role)
+			if f.olderVersion[from] {
 				m.Cases, m.QuarantineChecksum = nil, 0
 			}
 			sent += size(t, quarantinePart(m))
-			if !f.partitioned[to] && !f.olderBuild[to] && f.rand.Float64() >= f.lossRate {
+			if !f.partitioned[to] && !f.olderVersion[to] && f.rand.Float64() >= f.lossRate {
 				to.receiveMessage(f.now, m)
 			}
 		}
@@ -113,7 +114,7 @@
 	return len(raw) - len(empty)
 }
 
-// roundsUntilQuarantined plays rounds until the entries have quarantined the poison request, and
+// roundsUntilQuarantined runs rounds until the entries have quarantined the poison request, and
 // returns the simulated time.
 func (f *simFleet) roundsUntilQuarantined(t *testing.T, entries ...*Daemon) time.Duration {
 	t.Helper()
@@ -131,18 +132,18 @@
 	}
 }
 
-// reachable returns the entries of this build that are not partitioned.
+// reachable returns the entries of this version that are not partitioned.
 func (f *simFleet) reachable() []*Daemon {
 	var out []*Daemon
 	for _, d := range f.entries {
-		if !f.partitioned[d] && !f.olderBuild[d] {
+		if !f.partitioned[d] && !f.olderVersion[d] {
 			out = append(out, d)
 		}
 	}
 	return out
 }
 
-// Guards against slow propagation: after three entries in different data centres have seen one
+// Guards against slow propagation: after three entries in different data centres have found one
 // crash each, all entries must quarantine the request within three seconds, in fleets of any size
 // and with lost messages. The same holds for an entry that was partitioned or has just started.
 func TestQuarantineReachesAllEntries(t *testing.T) {
@@ -155,8 +156,8 @@
 				for range 4 {
 					f.round(t)
 				}
-				cut := f.entries[1]
-				f.partitioned[cut] = true
+				partitioned := f.entries[1]
+				f.partitioned[partitioned] = true
 				for i, at := range []int{0, size.each, 2*size.each + 1} {
 					f.entries[at].quarantine.table.RecordCrash(f.now, poison, pkquarantine.StartID(1+i))
 				}
@@ -167,7 +168,7 @@
 				for range 20 {
 					f.round(t) // recent crashes are no longer announced
 				}
-				f.partitioned[cut] = false
+				f.partitioned[partitioned] = false
 				fresh := f.add("b", 99, 0.2)
 				took = f.roundsUntilQuarantined(t, f.entries...)
 				t.Logf("quarantined at a partitioned and a new entry after %v", took)
@@ -178,12 +179,12 @@
 	}
 }
 
-// Guards against repeating messages without end to entries of an older build, which never
+// Guards against repeating messages without end to entries of an older version, which never
 // acknowledge quarantined requests. The others must still learn from one another.
-func TestOlderBuildsAreNotSentQuarantineForever(t *testing.T) {
+func TestOlderVersionsAreNotSentQuarantineForever(t *testing.T) {
 	f := newSimFleet(2, 4)
 	for i, d := range f.entries {
-		f.olderBuild[d] = i%2 == 0
+		f.olderVersion[d] = i%2 == 0
 	}
 	for range 4 {
 		f.round(t)
@@ -206,9 +207,9 @@
 // stay within the limit of the control plane, and all entries must quarantine the poison request.
 func TestQuarantineTrafficIsBounded(t *testing.T) {
 	const (
-		perEntry  = 10
-		bytesMost = 20_000 // per second, for all control traffic of an entry
-		span      = 10 * time.Second
+		perEntry = 10
+		maxBytes = 20_000 // per second, for all control traffic of an entry
+		span     = 10 * time.Second
 	)
 	f := newSimFleet(17, 22)
 	for range 4 {
@@ -231,13 +232,13 @@
 			took = f.now.Sub(began)
 		}
 	}
-	most := 0
+	maxSent := 0
 	for _, sent := range f.sentBytes {
-		most = max(most, sent)
+		maxSent = max(maxSent, sent)
 	}
-	t.Logf("quarantined everywhere after %v; an entry sent at most %d bytes in one round and %d per second", took, f.maxRoundBytes, most/int(span/time.Second))
+	t.Logf("quarantined everywhere after %v; an entry sent at most %d bytes in one round and %d per second", took, f.maxRoundBytes, maxSent/int(span/time.Second))
 	assert.Equal(t, f.quarantinedCount(), len(f.entries))
-	assert.Assert(t, most <= bytesMost*int(span/time.Second), "%d bytes", most)
+	assert.Assert(t, maxSent <= maxBytes*int(span/time.Second), "%d bytes", maxSent)
 }
 
 // quarantinedCount returns how many entries have quarantined the poison request.
--- a/pkedge/quarantine_test.go
+++ b/pkedge/quarantine_test.go
@@ -69,9 +69,9 @@
 		{"deadline exceeded", lostSend(context.DeadlineExceeded), gone, 0, 0},
 		{"the caller left", errCallerLeft, gone, 0, 0},
 	} {
-		d, _ := poolDaemon(withBirth(engine("a", "x", 0, 80), 100))
+		d, _ := poolDaemon(withStartTime(engine("a", "x", 0, 80), 100))
 		one := d.target(t, "a")
-		newCall(d, poison).suspectFailedSend(now, row.err, one)
+		newCall(d, poison).recordIfInterrupted(now, row.err, one)
 		d.checkInterrupted(now)
 		row.do(d)
 		d.checkInterrupted(now.Add(row.after))
@@ -81,8 +81,8 @@
 	d, _ := poolDaemon(engine("a", "x", 0, 80))
 	draining := engine("a", "x", 0, 80)
 	draining.Leaving = true
-	d.applyListEntry(now, 2, draining)
-	newCall(d, poison).suspectFailedSend(now, lostSend(io.EOF), d.target(t, "a"))
+	d.applyRecord(now, 2, draining)
+	newCall(d, poison).recordIfInterrupted(now, lostSend(io.EOF), d.target(t, "a"))
 	gone(d)
 	d.checkInterrupted(now)
 	assert.Equal(t, d.crashCount(now, poison), 0, "draining")
@@ -150,15 +150,15 @@
 	return syscall.ECONNREFUSED
 }
 
-// Replicas of plain services are not watched. Guards against an entry that does not probe one
-// itself, or probes it once per interrupted request.
+// Guards against an undetected crash of a plain replica, which no entry monitors, and against one
+// probe per interrupted request.
 func TestEntryProbesReplica(t *testing.T) {
 	now := time.Now()
 	d, _ := poolDaemon(engine("a", "x", 0, 80))
 	engines := &refusingEngines{}
 	d.Engines = engines
 	for digest := range pkquarantine.Digest(8) {
-		newCall(d, 1+digest).suspectFailedSend(now, lostSend(io.EOF), d.target(t, "a"))
+		newCall(d, 1+digest).recordIfInterrupted(now, lostSend(io.EOF), d.target(t, "a"))
 	}
 	assert.Equal(t, len(d.checkInterrupted(now)), 0, "no probe before reports of other entries are due")
 	probes := d.checkInterrupted(now.Add(probeDelay))
@@ -175,7 +175,7 @@
 	now := time.Now()
 	d, _ := poolDaemon(engine("a", "x", 0, 80))
 	d.Engines = &refusingEngines{alive: true}
-	newCall(d, poison).suspectFailedSend(now.Add(-probeDelay), lostSend(io.EOF), d.target(t, "a"))
+	newCall(d, poison).recordIfInterrupted(now.Add(-probeDelay), lostSend(io.EOF), d.target(t, "a"))
 	for _, one := range d.checkInterrupted(now) {
 		d.probe(t.Context(), one)
 	}
@@ -227,29 +227,29 @@
 }
 
 // Guards against losing a quarantined request if the store is unavailable at the last crash, and
-// against writes by all the entries that only heard of it.
+// against writes by all the entries that only received a report of it.
 func TestOnlyEntriesThatSawACrashSaveTheRequest(t *testing.T) {
 	now := time.Now()
-	saw, _ := poolDaemon(engine("a", "x", 0, 80))
-	saw.metrics = newMetrics(saw)
-	heard, _ := poolDaemon()
+	finder, _ := poolDaemon(engine("a", "x", 0, 80))
+	finder.metrics = newMetrics(finder)
+	receiver, _ := poolDaemon()
 	store := &recordingStore{failGrants: 1}
-	saw.Store = store
+	finder.Store = store
 	for i := range pkquarantine.CrashLimit - 1 {
-		saw.quarantine.table.RecordCrash(now, poison, pkquarantine.StartID(1+i))
+		finder.quarantine.table.RecordCrash(now, poison, pkquarantine.StartID(1+i))
 	}
-	saw.target(t, "a").MarkGone(now.Add(suspectTTL))
-	newCall(saw, poison).suspectFailedSend(now, lostSend(io.EOF), saw.target(t, "a"))
-	saw.checkInterrupted(now)
-	heard.mergeCases(now, saw.quarantine.table.RecentChanges(now), "peer")
-	assert.Equal(t, len(heard.unsavedCases(now)), 0)
+	finder.target(t, "a").MarkGone(now.Add(suspectTTL))
+	newCall(finder, poison).recordIfInterrupted(now, lostSend(io.EOF), finder.target(t, "a"))
+	finder.checkInterrupted(now)
+	receiver.mergeCases(now, finder.quarantine.table.RecentChanges(now), "peer")
+	assert.Equal(t, len(receiver.unsavedCases(now)), 0)
 
-	todo := saw.unsavedCases(now)
+	todo := finder.unsavedCases(now)
 	assert.Equal(t, len(todo), 1)
-	assert.ErrorContains(t, saw.save(t.Context(), todo[0]), "away")
-	assert.NilError(t, saw.save(t.Context(), saw.unsavedCases(now)[0]))
-	saw.markSaved(poison)
-	assert.Equal(t, len(saw.unsavedCases(now)), 0)
+	assert.ErrorContains(t, finder.save(t.Context(), todo[0]), "away")
+	assert.NilError(t, finder.save(t.Context(), finder.unsavedCases(now)[0]))
+	finder.markSaved(poison)
+	assert.Equal(t, len(finder.unsavedCases(now)), 0)
 	assert.Equal(t, len(store.writes), 1)
 
 	fresh, _ := poolDaemon()
@@ -275,8 +275,8 @@
 	a.call.digest = poison
 	a.call.deadline = now.Add(time.Minute)
 	for name, serve := range map[string]func() error{
-		"stream": func() error { return a.call.stream(t.Context(), s) },
-		"plain":  func() error { return a.call.plain(t.Context()) },
+		"stream": func() error { return a.call.serveStream(t.Context(), s) },
+		"plain":  func() error { return a.call.servePlain(t.Context()) },
 	} {
 		var got *rejection
 		assert.Assert(t, errors.As(serve(), &got), name)
--- a/pkedge/refusal.go
+++ b/pkedge/refusal.go
@@ -14,65 +14,65 @@
 const (
 	// drainCheckTimeout bounds the health check of an engine; a full one may queue it.
 	drainCheckTimeout = 150 * time.Millisecond
-	// maxRefusedEngines bounds the engines queued for a check. An engine dropped from the queue is
+	// maxRefusalCauses bounds the engines queued for a check. An engine dropped from the queue is
 	// checked at its next refusal.
-	maxRefusedEngines = 64
+	maxRefusalCauses = 64
 )
 
-// refusedEngine is an engine on whose behalf the first engine of a path refused a request. It may
-// be full, draining or dead.
-type refusedEngine struct {
+// refusalCause is an engine on whose behalf the first engine of a path refused a request. It may be
+// full, draining or dead.
+type refusalCause struct {
 	service *pkconfig.Service
 	target  *pkreplica.Target
 }
 
-// queueRefusedEngine queues the engine that caused a refusal at now for a check, unless it is the
+// queueRefusalCause queues the engine that caused a refusal at now for a check, unless it is the
 // first of the path.
 //
 // Without the check, a dead or draining engine stays in the list while the store is unavailable,
 // and the entries spend their retry budgets on finding it again after each backoff.
-func (d *Daemon) queueRefusedEngine(now time.Time, a *attempt, t *pkreplica.Target, answer *pkforward.Response) {
-	refused := answer != nil && answer.Status == http.StatusServiceUnavailable
+func (d *Daemon) queueRefusalCause(now time.Time, a *attempt, t *pkreplica.Target, resp *pkforward.Response) {
+	refused := resp != nil && resp.Status == http.StatusServiceUnavailable
 	if !refused || t == a.currentPath().first() || t.Excluded(now) || !t.AllowProbe(now, livenessInterval) {
 		return
 	}
 	select {
-	case d.refusedEngines <- refusedEngine{service: a.service, target: t}:
+	case d.refusalCauses <- refusalCause{service: a.service, target: t}:
 	default: // the queue is full
 	}
 }
 
-// checkRefusedEngines checks the queued engines.
-func (d *Daemon) checkRefusedEngines(ctx context.Context) {
+// checkRefusalCauses checks the queued engines.
+func (d *Daemon) checkRefusalCauses(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case refused := <-d.refusedEngines:
-			wg.Go(func() { d.checkRefusedEngine(ctx, refused) })
+		case cause := <-d.refusalCauses:
+			wg.Go(func() { d.checkRefusalCause(ctx, cause) })
 		}
 	}
 }
 
-// checkRefusedEngine checks the liveness of an engine, and while the store is unavailable also
+// checkRefusalCause checks the liveness of an engine, and while the store is unavailable also
 // whether a live one is draining.
-func (d *Daemon) checkRefusedEngine(ctx context.Context, refused refusedEngine) {
-	if d.checkLiveness(ctx, refused.target) || !d.roster.StoreUnavailable() {
+func (d *Daemon) checkRefusalCause(ctx context.Context, cause refusalCause) {
+	if d.checkLiveness(ctx, cause.target) || !d.roster.StoreUnavailable() {
 		return
 	}
-	d.checkDraining(ctx, refused)
+	d.checkDraining(ctx, cause)
 }
 
-// checkDraining asks an engine whether it is draining. All entries avoid one that is until its list
-// entry changes.
-func (d *Daemon) checkDraining(ctx context.Context, refused refusedEngine) {
+// checkDraining asks an engine whether it is draining. A draining engine is avoided by all entries
+// until its record changes.
+func (d *Daemon) checkDraining(ctx context.Context, cause refusalCause) {
 	ctx, cancel := context.WithTimeout(ctx, drainCheckTimeout)
 	defer cancel()
-	draining, err := d.Engines.Leaving(ctx, refused.target.Addr, refused.service.HealthPath)
-	d.log.Info("engine checked for draining", "target", refused.target.ID, "leaves", draining, "error", err)
+	draining, err := d.Engines.Leaving(ctx, cause.target.Addr, cause.service.HealthPath)
+	d.log.Info("engine checked for draining", "target", cause.target.ID, "leaves", draining, "error", err)
 	if draining {
-		d.suspectMisplaced(time.Now(), refused.target)
+		d.suspectStaleRecord(time.Now(), cause.target)
 	}
 }
--- a/pkedge/refusal_test.go
+++ b/pkedge/refusal_test.go
@@ -57,15 +57,15 @@
 			d, s := poolDaemon(engine("a", "x", 0, 40), engine("b", "x", 40, 80), engine("c", "x", 40, 80))
 			engines := &healthEngines{silent: row.silent}
 			d.Engines = engines
-			d.refusedEngines = make(chan refusedEngine, maxRefusedEngines)
+			d.refusalCauses = make(chan refusalCause, maxRefusalCauses)
 			a := attemptOver(t, d, s, "a", "b")
 			answer := &pkforward.Response{Status: http.StatusServiceUnavailable, ResponseMeta: pkforward.ResponseMeta{NotRun: true, FaultAddr: row.fault}}
 			refusal := &pkverdict.Error{Verdict: pkverdict.NotRun, Reason: pkverdict.ReasonRefused, Err: errors.New("status 503")}
 			for range 3 {
 				a.call.recordPathFailure(t.Context(), a, answer, refusal)
 			}
-			for len(d.refusedEngines) > 0 {
-				d.checkRefusedEngine(t.Context(), <-d.refusedEngines)
+			for len(d.refusalCauses) > 0 {
+				d.checkRefusalCause(t.Context(), <-d.refusalCauses)
 			}
 			assert.Equal(t, engines.reportCalls, row.reportCalls)
 			now := time.Now()
@@ -77,8 +77,8 @@
 }
 
 // Guards against draining engines that the list cannot show while the store is unavailable. All
-// entries must avoid one until its list entry changes; a full engine, or one of unknown health, is
-// only backed off. With the store available no health check is made.
+// entries must avoid one until its record changes; a full engine, or one of unknown health, is only
+// backed off. With the store available no health check is made.
 func TestDrainingEngineIsAvoidedDuringStoreOutage(t *testing.T) {
 	// longest exceeds the backoff after five failures.
 	const longest = 4500 * time.Millisecond
@@ -103,13 +103,13 @@
 			if row.outage {
 				d.roster.MarkStoreUnavailable(time.Now())
 			}
-			d.refusedEngines = make(chan refusedEngine, maxRefusedEngines)
+			d.refusalCauses = make(chan refusalCause, maxRefusalCauses)
 			a := attemptOver(t, d, s, "a", "b")
 			for range 5 {
 				a.call.recordPathFailure(t.Context(), a, refusal, failure)
 			}
-			for len(d.refusedEngines) > 0 {
-				d.checkRefusedEngine(t.Context(), <-d.refusedEngines)
+			for len(d.refusalCauses) > 0 {
+				d.checkRefusalCause(t.Context(), <-d.refusalCauses)
 			}
 			assert.Equal(t, row.engines.healthCalls, row.healthCalls)
 			assert.Equal(t, d.target(t, "b").Excluded(time.Now()), row.suspected)
@@ -121,8 +121,8 @@
 			other, _ := poolDaemon(engine("a", "x", 0, 40), engine("b", "x", 40, 80))
 			other.receiveSuspicion(time.Now(), "one", d.message(time.Now()).Suspects[0])
 			assert.Assert(t, other.target(t, "b").Excluded(time.Now()))
-			d.applyListEntry(time.Now(), 2, engine("b", "x", 40, 60))
-			assert.Assert(t, !d.target(t, "b").Excluded(time.Now()), "its list entry has changed")
+			d.applyRecord(time.Now(), 2, engine("b", "x", 40, 60))
+			assert.Assert(t, !d.target(t, "b").Excluded(time.Now()), "its record has changed")
 		})
 	}
 }
--- a/pkedge/replicas.go
+++ b/pkedge/replicas.go
@@ -32,8 +32,8 @@
 	})
 }
 
-// records decodes the list entries of events. An entry that names no usable replica still replaces
-// an earlier valid one, whose replica may be gone.
+// records decodes the records of events. One that names no usable replica still replaces an earlier
+// valid one, whose replica may be gone.
 func (d *Daemon) records(events []pkstore.Event) []pkreplica.Record {
 	out := make([]pkreplica.Record, 0, len(events))
 	for _, ev := range events {
@@ -44,7 +44,7 @@
 		}
 		record, err := d.Replica(ev.Item)
 		if err != nil {
-			d.log.Debug("invalid replica entry", "key", ev.Item.Key, "revision", ev.Item.Revision.String(), "error", err)
+			d.log.Debug("invalid replica record, replica not used", "key", ev.Item.Key, "revision", ev.Item.Revision.String(), "error", err)
 		}
 		out = append(out, record)
 	}
@@ -71,14 +71,14 @@
 		"known_to", at.String(), "source", source, "gone", one.Deleted, "leaving", one.Info.Leaving,
 		"first", one.Info.Held.First, "end", one.Info.Held.End, "born", one.Info.Born, "addr", one.Info.Addr)
 	if problem := d.unusableField(one); problem != "" {
-		d.log.Warn("unusable replica entry", "target", one.Info.ID, "revision", one.Revision.String(), "source", source, "field", problem)
+		d.log.Warn("unusable replica record, replica not used", "target", one.Info.ID, "revision", one.Revision.String(), "source", source, "field", problem)
 		d.metrics.unusable.WithLabelValues(problem).Inc()
 	}
 }
 
-// unusableField returns the field that makes a replica's list entry unusable, or an empty string.
+// unusableField returns the field that makes a replica's record unusable, or an empty string.
 func (d *Daemon) unusableField(one pkreplica.Record) string {
-	table := d.book.Table()
+	table := d.configs.Table()
 	switch {
 	case one.Unusable != "":
 		return one.Unusable
--- a/pkedge/entries_test.go
+++ b/pkedge/replicas_test.go
@@ -12,8 +12,8 @@
 )
 
 // Guards against incomplete streams when an engine crashes and restarts empty under the same id,
-// and against a late write of the old process that brings its old list entry back. The engine must
-// be given layers again.
+// and against a late write of the old process that brings its old record back. The engine must be
+// given layers again.
 func TestARestartedEngineServesAgain(t *testing.T) {
 	t.Parallel()
 	w, engines := newPool(t)
@@ -21,31 +21,31 @@
 	n.waitForStream(t)
 	const streams, length = 12, 120
 	answers, first := n.startStreams(t, w, streams, length)
-	var again *platformtest.Replica
+	var restarted *platformtest.Replica
 	for id, r := range engines {
 		if !first[id] {
-			again = r
+			restarted = r
 		}
 	}
-	late := again.Restart()
+	staleRecord := restarted.Restart()
 	assertComplete(t, answers, streams, length)
 	eventually(t, "layers again", func() bool {
-		_, end := again.HeldLayers()
+		_, end := restarted.HeldLayers()
 		return end > 0
 	})
-	w.PutEntry(again.ID, late)
+	w.PutEntry(restarted.ID, staleRecord)
 	for i := range 20 {
 		got := n.do(t, http.MethodPost, "/talk/1", fmt.Sprintf("after-%d", i), platformtest.Key, 3)
 		assert.NilError(t, got.err)
 		assert.Equal(t, got.body, events(3))
 	}
-	assert.Equal(t, n.metric(t, `peridotknot_sends_failed_total{reason="refused",verdict="not_run"}`), "", "the late entry is not used")
+	assert.Equal(t, n.metric(t, `peridotknot_sends_failed_total{reason="refused",verdict="not_run"}`), "", "the stale record is not used")
 }
 
-// Guards against requests to addresses in invalid list entries, one of which replaces the entry of
-// a valid replica. Callers must be served by the other replicas, and the replaced one must be used
-// again once its entry is valid.
-func TestInvalidReplicaEntriesAreNotUsed(t *testing.T) {
+// Guards against requests to addresses in invalid records, one of which replaces the record of a
+// valid replica. Callers must be served by the other replicas, and the replaced one must be used
+// again once its record is valid.
+func TestInvalidReplicaRecordsAreNotUsed(t *testing.T) {
 	t.Parallel()
 	w, _ := newPool(t)
 	a, b := w.Add(platformtest.App, "i-a", "a"), w.Add(platformtest.App, "i-b", "a")
@@ -95,7 +95,7 @@
 	a.Touch()
 	b.Drain()
 	i := 0
-	eventually(t, "the valid entry", func() bool {
+	eventually(t, "the valid record", func() bool {
 		i++
 		id := fmt.Sprintf("again-%d", i)
 		n.do(t, http.MethodPost, "/book/1", id, platformtest.Key, 0)
--- a/pkedge/reroute.go
+++ b/pkedge/reroute.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// rerouteInterval is how often streams are checked. Callers count a pause of 200 ms as late,
+	// rerouteInterval is how often streams are checked. Callers count a gap of 200 ms as late,
 	// and detection and reroute must both fit into it.
 	rerouteInterval = 20 * time.Millisecond
 	// rerouteMaxLag is the lag of a check beyond which this VM itself is taken to have stalled,
@@ -112,10 +112,10 @@
 	}
 }
 
-// reroute continues a stream without a target: over a new path in place, whose new engines alone
-// read the tokens so far, or by another attempt after the last event, for which all engines read
-// them. A local detour in place comes first: when engines die together, their streams would
-// otherwise all read all their tokens again at the same time.
+// reroute moves a stream off a target: in place, where only the new engines prefill the tokens so
+// far, or by another attempt after the last event, for which all engines prefill them. A local
+// replacement in place comes first: when engines die together, their streams would otherwise all
+// prefill all their tokens again at the same time.
 //
 // A draining target keeps serving for seconds: its streams stay until there is capacity elsewhere
 // and a retry left.
@@ -125,7 +125,7 @@
 		a.cancel(errRerouted) // the request would crash another engine
 		return
 	}
-	by, found := d.findDetour(now, a, t)
+	by, found := d.findReplacement(now, a, t)
 	inPlace := found && a.prefersInPlace(now, t, by, reason)
 	switch {
 	case inPlace && d.repath(ctx, a, t, reason, by):
@@ -136,21 +136,21 @@
 		a.keepPath()
 	case found && !inPlace && d.repath(ctx, a, t, reason, by):
 	default:
-		d.log.Info("no alternative path for a stream", "request_id", a.call.req.Meta.ID, "target", t.ID, "why", reason, "detour", found)
+		d.log.Info("no alternative path for a stream, its path is kept for now", "request_id", a.call.req.Meta.ID, "target", t.ID, "why", reason, "detour", found)
 		a.deferReroute(now)
 	}
 }
 
-// findDetour returns engines that can replace one on a path. There is none for the first engine,
-// nor after maxReroutes.
-func (d *Daemon) findDetour(now time.Time, a *attempt, t *pkreplica.Target) (targetPath, bool) {
+// findReplacement returns a path that can replace one engine of an attempt's path. The first engine
+// cannot be replaced, nor any after maxReroutes.
+func (d *Daemon) findReplacement(now time.Time, a *attempt, t *pkreplica.Target) (targetPath, bool) {
 	old := a.currentPath()
 	at := old.index(t.ID)
 	if at <= 0 || a.rerouteCount() >= maxReroutes {
 		return targetPath{}, false
 	}
 	return d.findPath(now, a.service, pathQuery{
-		layers: old.parts[at].Layers, tokens: a.tokens, from: old.targets[at-1].DataCenter, inPath: true,
+		layers: old.stages[at].Layers, tokens: a.tokens, from: old.targets[at-1].DataCenter, inPath: true,
 		exclude: old.targetIDs(), memoryShare: 1, urgent: true,
 	})
 }
@@ -166,27 +166,28 @@
 	if _, found := d.choosePath(now, a.service, a.tokens, 1); !found {
 		return false
 	}
-	budget, terms := d.budgets.of(a.call.service), d.retry.Load().terms(d.entryCount(now))
-	if reason == reasonLeaving && !budget.HasRetries(now, terms, drainRetryReserve) {
+	budget, limits := d.budgets.of(a.call.service), d.retry.Load().limits(d.entryCount(now))
+	if reason == reasonLeaving && !budget.HasRetries(now, limits, drainRetryReserve) {
 		return false
 	}
-	if !budget.TryRetry(now, terms) {
+	if !budget.TryRetry(now, limits) {
 		return false
 	}
 	a.charged.Store(true)
 	return true
 }
 
-// repath orders a path around a target and reports whether the stream needs no other one.
+// repath orders the engines to replace a target on the path in place. It reports whether that is
+// settled: the order was accepted, or the attempt has ended.
 func (d *Daemon) repath(ctx context.Context, a *attempt, t *pkreplica.Target, reason string, by targetPath) bool {
 	old := a.currentPath()
 	at := old.index(t.ID)
 	// Reserved before the order, since the other streams of the same engine choose their paths
 	// meanwhile.
-	by.reserve(time.Now(), a.service.Engine, &d.pipes, a.tokens, a.tokens, d.gossip.reportDelay())
+	by.reserve(time.Now(), a.service.Engine, &d.linkUsage, a.tokens, a.tokens, d.gossip.reportDelay())
 	next := old.withReplaced(at, by)
-	order, cancel := context.WithTimeout(ctx, repathTimeout)
-	outcome, err := d.Engines.Repath(order, old.first().Addr, a.call.req.Meta.ID, next.hops)
+	orderCtx, cancel := context.WithTimeout(ctx, repathTimeout)
+	outcome, err := d.Engines.Repath(orderCtx, old.first().Addr, a.call.req.Meta.ID, next.hops)
 	cancel()
 	done := outcome == pkowner.Begun || outcome == pkowner.Done
 	d.log.Info("a stream changes its path", "request_id", a.call.req.Meta.ID, "target", t.ID, "why", reason, "events", a.eventCount(),
@@ -197,7 +198,7 @@
 		by.release(a.tokens)
 		return a.ended
 	}
-	old.targets[at].Done(a.tokens * float64(old.parts[at].Layers.Len()))
+	old.targets[at].Done(a.tokens * float64(old.stages[at].Layers.Len()))
 	a.reroutes++
 	a.path = next
 	a.lastEventAt = time.Now()
--- a/pkedge/reroute_test.go
+++ b/pkedge/reroute_test.go
@@ -32,7 +32,7 @@
 
 // poolDaemon returns a daemon that knows the engines of one model and runs no loops.
 func poolDaemon(infos ...pkreplica.Info) (*Daemon, *pkconfig.Service) {
-	d := &Daemon{log: hclog.NewNullLogger(), crowding: pklayers.InversePenalty}
+	d := &Daemon{log: hclog.NewNullLogger(), memoryPenalty: pklayers.InversePenalty}
 	d.gossip.suspects = map[pkid.TargetID]suspicion{}
 	var records []pkreplica.Record
 	for _, info := range infos {
@@ -80,9 +80,9 @@
 	assert.Equal(t, len(d.gossip.suspects), 0)
 }
 
-// Guards against detours through a congested pipe for an answer in progress, even if the engines
-// beyond it are less busy.
-func TestUrgentRequestAvoidsCongestedPipe(t *testing.T) {
+// Guards against paths over a congested link for an answer in progress, even if the engines beyond
+// it are less busy.
+func TestUrgentRequestAvoidsCongestedLink(t *testing.T) {
 	d, s := poolDaemon(engine("front", "a", 0, 40), engine("near", "a", 40, 80), engine("far", "b", 40, 80))
 	d.settings.DataCenter = "a"
 	now := time.Now()
@@ -91,9 +91,9 @@
 	query := pathQuery{layers: s.Engine.AllLayers(), tokens: 900, from: "a", memoryShare: 1}
 	p, found := d.findPath(now, s, query)
 	assert.Assert(t, found)
-	assert.Equal(t, p.targets[1].ID, pkid.TargetID("far"), "a new request takes the engine with more room")
+	assert.Equal(t, p.targets[1].ID, pkid.TargetID("far"), "a new request takes the engine with more capacity")
 	for range 10 {
-		d.pipes.Add(now, "a", "b", 0, s.Engine.TransferTime(900))
+		d.linkUsage.Add(now, "a", "b", 0, s.Engine.TransferTime(900))
 	}
 	query.urgent = true
 	p, found = d.findPath(now, s, query)
@@ -122,7 +122,7 @@
 		close(arrived)
 	}}
 	second, _ := d.roster.Target("second")
-	by, found := d.findDetour(time.Now(), a, second)
+	by, found := d.findReplacement(time.Now(), a, second)
 	assert.Assert(t, found)
 	assert.Assert(t, d.repath(t.Context(), a, second, reasonDead, by))
 	<-arrived
@@ -140,9 +140,9 @@
 	return pkowner.Done, nil
 }
 
-// Guards against all engines reading all tokens again when a dead engine has a replacement in its
-// data centre: the replacement alone must read them. With a remote replacement or a second dead
-// engine the request must be sent again instead.
+// Guards against all engines prefilling all tokens again when a dead engine has a replacement in
+// its data centre: the replacement alone must prefill them. With a remote replacement or a second
+// dead engine the request must be sent again instead.
 func TestStreamTakesLocalReplacementOfDeadEngine(t *testing.T) {
 	cases := []struct {
 		name        string
@@ -165,8 +165,8 @@
 			d.Engines = engines
 			a := attemptOver(t, d, s, "first", "second", "third")
 			a.canRetry = true
-			var moved error
-			a.cancel = func(err error) { moved = err }
+			var cause error
+			a.cancel = func(err error) { cause = err }
 			for _, id := range c.dead {
 				one, _ := d.roster.Target(id)
 				one.MarkDead(time.Now().Add(suspectTTL))
@@ -174,11 +174,11 @@
 			second, _ := d.roster.Target("second")
 			d.reroute(t.Context(), a, second, reasonDead)
 			if !c.inPlace {
-				assert.Equal(t, moved, errRerouted)
+				assert.Equal(t, cause, errRerouted)
 				assert.Equal(t, len(engines.path), 0)
 				return
 			}
-			assert.NilError(t, moved)
+			assert.NilError(t, cause)
 			assert.Equal(t, len(engines.path), 3)
 			assert.Equal(t, engines.path[1].Addr, "beside")
 		})
@@ -223,12 +223,12 @@
 	assert.Equal(t, reason, "", "keeps its path without a retry")
 
 	a.canRetry = true
-	var moved error
-	a.cancel = func(err error) { moved = err }
+	var cause error
+	a.cancel = func(err error) { cause = err }
 	one, reason := a.needsReroute(now)
 	assert.Equal(t, reason, reasonDead)
 	d.reroute(t.Context(), a, one, reason)
-	assert.Equal(t, moved, errRerouted)
+	assert.Equal(t, cause, errRerouted)
 	assert.Equal(t, len(engines.path), 0)
 }
 
--- a/pkedge/restart_test.go
+++ b/pkedge/restart_test.go
@@ -24,13 +24,13 @@
 	return e.report, nil
 }
 
-func withBirth(info pkreplica.Info, b pkid.StartTime) pkreplica.Info {
-	info.Born = b
+func withStartTime(info pkreplica.Info, start pkid.StartTime) pkreplica.Info {
+	info.Born = start
 	return info
 }
 
-// applyListEntry applies a list entry in the pool of poolDaemon at a revision.
-func (d *Daemon) applyListEntry(now time.Time, rev pkstore.Revision, info pkreplica.Info) {
+// applyRecord applies a record in the pool of poolDaemon at a revision.
+func (d *Daemon) applyRecord(now time.Time, rev pkstore.Revision, info pkreplica.Info) {
 	info.Service, info.Addr = "models", string(info.ID)
 	d.roster.Apply(now, []pkreplica.Record{{Revision: rev, Info: info}}, rev)
 }
@@ -47,7 +47,7 @@
 func TestStreamsLeaveARestartedEngine(t *testing.T) {
 	now := time.Now()
 	sources := map[string]func(d *Daemon){
-		"list": func(d *Daemon) { d.applyListEntry(now, 2, withBirth(pkreplica.Info{ID: "b", Kind: "l4"}, 200)) },
+		"list": func(d *Daemon) { d.applyRecord(now, 2, withStartTime(pkreplica.Info{ID: "b", Kind: "l4"}, 200)) },
 		"report": func(d *Daemon) {
 			d.Engines = reportingEngines{report: pkowner.Report{Born: 200, AcceptedOrders: 1}}
 			_, err := d.readReport(t.Context(), d.target(t, "b"))
@@ -64,7 +64,7 @@
 	}
 	for name, showRestart := range sources {
 		t.Run(name, func(t *testing.T) {
-			d, s := poolDaemon(withBirth(engine("a", "x", 0, 40), 100), withBirth(engine("b", "x", 40, 80), 100), withBirth(engine("c", "x", 40, 80), 100))
+			d, s := poolDaemon(withStartTime(engine("a", "x", 0, 40), 100), withStartTime(engine("b", "x", 40, 80), 100), withStartTime(engine("c", "x", 40, 80), 100))
 			a := attemptOver(t, d, s, "a", "b")
 			a.recordEvent(now)
 			gone, _ := a.needsReroute(now)
@@ -78,7 +78,7 @@
 }
 
 // Guards against suspecting a restart of an engine that holds its layers, is busy loading them, or
-// has none in its list entry either.
+// has none in its record either.
 func TestReportWithoutARestart(t *testing.T) {
 	held := pkid.Range{First: 40, End: 80}
 	for _, row := range []struct {
@@ -93,7 +93,7 @@
 		{held, pkowner.Report{Held: held, AcceptedOrders: 1, Born: 100}},
 		{held, pkowner.Report{Held: held, AcceptedOrders: 1, Born: 50}},
 	} {
-		d, _ := poolDaemon(withBirth(engine("b", "x", row.listed.First, row.listed.End), 100))
+		d, _ := poolDaemon(withStartTime(engine("b", "x", row.listed.First, row.listed.End), 100))
 		d.Engines = reportingEngines{report: row.report}
 		_, err := d.readReport(t.Context(), d.target(t, "b"))
 		assert.NilError(t, err)
@@ -105,38 +105,38 @@
 // report for four seconds.
 func TestSuspicionOfAnEarlierStartIsDropped(t *testing.T) {
 	now := time.Now()
-	d, _ := poolDaemon(withBirth(engine("a", "x", 0, 80), 200))
+	d, _ := poolDaemon(withStartTime(engine("a", "x", 0, 80), 200))
 	report := pkshare.Suspect{Target: "a", RemainingMS: 4000, Gone: true, Born: 100}
 	d.receiveSuspicion(now, "other", report)
 	assert.Assert(t, !d.target(t, "a").Avoided(now))
 	report.Born = 200
 	d.receiveSuspicion(now, "other", report)
 	assert.Assert(t, d.target(t, "a").IsGone(now))
-	d.applyListEntry(now, 2, withBirth(engine("a", "x", 0, 80), 300))
+	d.applyRecord(now, 2, withStartTime(engine("a", "x", 0, 80), 300))
 	assert.Assert(t, !d.target(t, "a").Avoided(now))
 	assert.Equal(t, len(d.message(now).Suspects), 0, "it is no longer reported either")
 }
 
 // Guards against sending requests to an engine that has lost its layers: the entry that finds it
-// must tell the others, and all must avoid the engine until its list entry changes.
-func TestMisplacedEngineIsReportedUntilItsListEntryChanges(t *testing.T) {
+// must report it to the others, and all must avoid the engine until its record changes.
+func TestEngineWithStaleRecordIsReportedUntilItsRecordChanges(t *testing.T) {
 	now := time.Now()
 	one, _ := poolDaemon(engine("a", "x", 0, 80))
 	two, _ := poolDaemon(engine("a", "x", 0, 80))
-	one.suspectMisplaced(now, one.target(t, "a"))
+	one.suspectStaleRecord(now, one.target(t, "a"))
 	reported := one.message(now).Suspects
 	assert.Equal(t, len(reported), 1)
 	two.receiveSuspicion(now, "one", reported[0])
 	assert.Assert(t, one.target(t, "a").Avoided(now) && two.target(t, "a").Avoided(now))
 	for _, d := range []*Daemon{one, two} {
-		d.applyListEntry(now, 2, engine("a", "x", 0, 40))
+		d.applyRecord(now, 2, engine("a", "x", 0, 40))
 		assert.Assert(t, !d.target(t, "a").Avoided(now))
 	}
 	two.receiveSuspicion(now, "one", reported[0])
 	assert.Assert(t, !two.target(t, "a").Avoided(now), "late report")
 	assert.Equal(t, len(one.message(now).Suspects), 0)
 	old := one.target(t, "a")
-	one.applyListEntry(now, 3, engine("a", "x", 0, 20))
-	one.suspectMisplaced(now, old)
-	assert.Assert(t, !one.target(t, "a").Avoided(now), "it was chosen by an earlier list entry")
+	one.applyRecord(now, 3, engine("a", "x", 0, 20))
+	one.suspectStaleRecord(now, old)
+	assert.Assert(t, !one.target(t, "a").Avoided(now), "it was chosen by an earlier record")
 }
--- a/pkedge/scale_bench_test.go
+++ b/pkedge/scale_bench_test.go
@@ -17,15 +17,15 @@
 func scaleDaemon(engines int) (*Daemon, *pkconfig.Service) {
 	m := mixedModel()
 	kinds := []pkid.AcceleratorKind{"h100", "a100s", "a100s", "l4", "l4", "l4", "l4", "l4", "t4", "t4", "t4", "t4"}
-	var cards []pklayers.Placement
+	var placements []pklayers.Placement
 	for i := range engines {
 		dc := pkid.DataCenter(fmt.Sprintf("d%d", i%3))
-		cards = append(cards, pklayers.Placement{ID: pkid.TargetID(fmt.Sprintf("i-%08d", i)), DataCenter: dc, Kind: kinds[i/3%len(kinds)]})
+		placements = append(placements, pklayers.Placement{ID: pkid.TargetID(fmt.Sprintf("i-%08d", i)), DataCenter: dc, Kind: kinds[i/3%len(kinds)]})
 	}
-	laid := pklayers.Plan(m, cards, time.Minute)
+	plan := pklayers.Plan(m, placements, time.Minute)
 	var infos []pkreplica.Info
-	for _, c := range cards {
-		infos = append(infos, pkreplica.Info{ID: c.ID, DataCenter: c.DataCenter, Kind: c.Kind, Held: laid[c.ID]})
+	for _, c := range placements {
+		infos = append(infos, pkreplica.Info{ID: c.ID, DataCenter: c.DataCenter, Kind: c.Kind, Held: plan[c.ID]})
 	}
 	d, _ := poolDaemon(infos...)
 	d.settings.DataCenter = "d0"
@@ -53,8 +53,8 @@
 	}
 }
 
-// BenchmarkShare measures the work of an entry that is no hub for each message to its hubs.
-func BenchmarkShare(b *testing.B) {
+// BenchmarkBroadcast measures building a message and summing the loads of the other entries.
+func BenchmarkBroadcast(b *testing.B) {
 	for _, engines := range []int{98, 300, 1000, 3000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			d, _ := scaleDaemon(engines)
--- a/pkedge/settings.go
+++ b/pkedge/settings.go
@@ -49,7 +49,7 @@
 	Slack   float64 `yaml:"slack"`
 }
 
-func (r Retry) terms(entries int) pkretry.Limits {
+func (r Retry) limits(entries int) pkretry.Limits {
 	return pkretry.Limits{Ratio: r.Ratio, Slack: r.Slack, Window: seconds(r.WindowS), Entries: entries}
 }
 
--- a/pkedge/settings_test.go
+++ b/pkedge/settings_test.go
@@ -19,11 +19,13 @@
 retry: {ratio: 0.2, window_s: 10, slack: 200}
 `
 
+// Guards against a daemon that starts with missing, negative or unknown settings, and against
+// errors without the line.
 func TestSettingsAreChecked(t *testing.T) {
 	s, err := pkedge.ParseSettings("s.yaml", []byte(goodSettings))
 	assert.NilError(t, err)
 	assert.Equal(t, s.Listen.Peers, "127.0.0.1:3")
-	cases := []struct{ from, to, says string }{
+	cases := []struct{ from, to, wantErr string }{
 		{"entry: one", "entry: \"\"", "s.yaml:1: entry is missing"},
 		{"grace_s: 8", "grace_s: 0", "stop.grace_s must be over 0"},
 		{"ratio: 0.2", "ratio: -1", "retry.ratio must not be below 0"},
@@ -33,6 +35,6 @@
 	}
 	for _, c := range cases {
 		_, err := pkedge.ParseSettings("s.yaml", []byte(strings.Replace(goodSettings, c.from, c.to, 1)))
-		assert.ErrorContains(t, err, c.says)
+		assert.ErrorContains(t, err, c.wantErr)
 	}
 }
--- a/pkedge/shortage.go
+++ b/pkedge/shortage.go
@@ -13,7 +13,7 @@
 // shortage is the reason why no path was found for a request.
 type shortage struct {
 	// layer is the one with the fewest usable engines; held, avoided and full count the engines
-	// that hold it, those of them that are avoided and those without room.
+	// that hold it, those of them that are avoided and those without enough capacity.
 	layer   pkid.Layer
 	held    int
 	avoided int
@@ -28,7 +28,7 @@
 	all := make([]shortage, m.Layers)
 	entries := d.entryCount(now)
 	for _, t := range d.liveEngines(now, s.ID, m) {
-		_, room := layerCost(now, m, t, q, entries, d.crowding)
+		_, hasCapacity := layerCost(now, m, t, q, entries, d.memoryPenalty)
 		avoided := !q.allows(now, t)
 		for l := t.Held.First; l < t.Held.End; l++ {
 			one := &all[l]
@@ -37,7 +37,7 @@
 			switch {
 			case avoided:
 				one.avoided++
-			case !room:
+			case !hasCapacity:
 				one.full++
 			}
 		}
--- a/pkedge/stalewatch.go
+++ b/pkedge/stalewatch.go
@@ -10,16 +10,16 @@
 	"peridotknot.example/pktimer"
 )
 
-// configPollInterval is how often entries that relay changes poll the configuration. A stale watch
-// is found after two polls, within the time in which a version must be in force; one interval is
-// longer than the delay for collecting changes.
+// configPollInterval is how often designated entries poll the configuration. A stale watch is found
+// after two polls, within the time in which a version must be in force; one interval is longer than
+// the delay for collecting changes.
 const configPollInterval = 700 * time.Millisecond
 
-// errStaleWatch ends watches after one has missed a version in the store.
-var errStaleWatch = errors.New("watch missed a version that the store has")
+// errStaleWatch ends watches after one has missed a revision of the configuration.
+var errStaleWatch = errors.New("watch missed a revision of the configuration")
 
-// staleWatchDetector tells a watch that is never answered from one without changes, by comparing it
-// with polls. The zero value is ready to use.
+// staleWatchDetector detects that the watch of the configuration is stale, by comparing what it
+// delivered with polls. The zero value is ready to use.
 type staleWatchDetector struct {
 	mu sync.Mutex
 	// delivered is the newest revision of the configuration that a list or a watch delivered.
@@ -53,12 +53,12 @@
 }
 
 // pollConfig polls the configuration and restarts all watches if the one of the configuration has
-// missed a version, since the others may be stale for the same reason. Only the first entries of
-// each data centre poll, since they relay changes to the others.
+// missed a revision, since the others may be stale for the same reason. Only the designated entries
+// of each data centre poll, since they relay changes to the others.
 func (d *Daemon) pollConfig(ctx context.Context) {
 	var seen pkstore.Revision
 	pktimer.Every(ctx, configPollInterval, func(ctx context.Context) {
-		if !d.gossip.first.Load() || d.book.Table() == nil || d.store.isOpen() {
+		if !d.gossip.designated.Load() || d.configs.Table() == nil || d.store.isOpen() {
 			return
 		}
 		at, err := d.Feed.StaleRevision(ctx)
--- a/pkedge/stalewatch_test.go
+++ b/pkedge/stalewatch_test.go
@@ -9,7 +9,7 @@
 )
 
 // Guards against restarting a working watch: during frequent changes each poll finds a newer
-// version than the watch has delivered.
+// revision than the watch has delivered.
 func TestWatchIsStaleIfItMissesTheVersionOfThePreviousPoll(t *testing.T) {
 	var w staleWatchDetector
 	w.recordDelivered(5)
--- a/pkedge/storecalls.go
+++ b/pkedge/storecalls.go
@@ -27,7 +27,8 @@
 	callPeek = "peek"
 )
 
-// Askers are the components that call the store. Other followers use their own names.
+// Components that call the store, as given in the label and log key asker. The followers of the
+// replicas and members use their follower names.
 const (
 	askerConfig = "config"
 	askerLease  = "lease"
--- a/pkedge/stream.go
+++ b/pkedge/stream.go
@@ -28,8 +28,7 @@
 	// budgetPollInterval is how often a waiting stream checks the retry budget, which frees a tenth
 	// of its window at a time.
 	budgetPollInterval = 50 * time.Millisecond
-	// retryAfterFull is the time to retry for callers that found the pool full: answers take two to
-	// four seconds, so some of the pool is free by then.
+	// retryAfterFull is the Retry-After delay if the pool is full.
 	retryAfterFull = 2500 * time.Millisecond
 )
 
@@ -44,11 +43,12 @@
 // errPathSilent cancels an attempt whose path sends no events.
 var errPathSilent = errors.New("path sends no events")
 
-// errRerouted cancels an attempt whose stream continues by another one.
+// errRerouted cancels an attempt that must leave its path; its stream continues by another attempt
+// unless the request is quarantined.
 var errRerouted = errors.New("an engine of the path is dead or draining")
 
-// stream serves a request for a stream of events, from engines or from a plain service.
-func (c *call) stream(ctx context.Context, s *pkconfig.Service) error {
+// serveStream serves a request for a stream of events, from engines or from a plain service.
+func (c *call) serveStream(ctx context.Context, s *pkconfig.Service) error {
 	verdict := pkverdict.NotRun
 	var cause error
 	var state streamState
@@ -65,7 +65,7 @@
 			break
 		}
 		c.sends++
-		err = c.attempt(ctx, s, p, &state)
+		err = c.sendOverPath(ctx, s, p, &state)
 		if err == nil {
 			return nil
 		}
@@ -118,11 +118,11 @@
 	return false
 }
 
-// errNoCapacity is returned if no path has room for a request.
-var errNoCapacity = errors.New("no path has room")
+// errNoCapacity is returned if no path has enough capacity for a request.
+var errNoCapacity = errors.New("no path has enough capacity")
 
-// waitForPath returns a path for the request. If none has room it waits up to capacityTimeout, or
-// resumeTimeout if the answer has started.
+// waitForPath returns a path for the request. If none has enough capacity it waits up to
+// capacityTimeout, or resumeTimeout if the answer has started.
 func (c *call) waitForPath(ctx context.Context, s *pkconfig.Service) (targetPath, error) {
 	tick := time.NewTicker(capacityPollInterval)
 	defer tick.Stop()
@@ -148,12 +148,12 @@
 }
 
 // lastResortPath returns a path that may also use engines avoided for a recent failure. It is used
-// if no other path has room, since the request would be refused otherwise.
+// if no other path has enough capacity, since the request would be refused otherwise.
 func (c *call) lastResortPath(now time.Time, s *pkconfig.Service) (targetPath, error) {
 	if s.Engine == nil {
 		return targetPath{}, errNoCapacity
 	}
-	q := c.pathQuery(s)
+	q := c.requestQuery(s)
 	q.lastResort = true
 	if p, found := c.findPath(now, s, q); found {
 		return p, nil
@@ -165,20 +165,20 @@
 // nextPath returns a path over engines, or a path with the one target of a plain service.
 func (c *call) nextPath(now time.Time, s *pkconfig.Service) (targetPath, bool) {
 	if s.Engine != nil {
-		return c.findPath(now, s, c.pathQuery(s))
+		return c.findPath(now, s, c.requestQuery(s))
 	}
 	t, found := c.roster.Choose(now, s.ID, c.tried)
 	if !found {
 		return targetPath{}, false
 	}
-	return targetPath{parts: []pklayers.Stage{{ID: t.ID}}, targets: []*pkreplica.Target{t}}, true
+	return targetPath{stages: []pklayers.Stage{{ID: t.ID}}, targets: []*pkreplica.Target{t}}, true
 }
 
-// pathQuery returns the query for a path of the request.
-func (c *call) pathQuery(s *pkconfig.Service) pathQuery {
+// requestQuery returns the query for a path of the request.
+func (c *call) requestQuery(s *pkconfig.Service) pathQuery {
 	q := c.newPathQuery(s, c.estimatedTokens(s.Engine), c.sends)
-	if pause := c.route.GapObjective; q.maxCost > 0 && pause > 0 {
-		q.maxCost = maxTokenCost(pause, s.Engine)
+	if gap := c.route.GapObjective; q.maxCost > 0 && gap > 0 {
+		q.maxCost = maxTokenCost(gap, s.Engine)
 	}
 	return q
 }
@@ -192,14 +192,14 @@
 	if answer == 0 {
 		answer = m.AnswerTokens
 	}
-	if most := c.req.Meta.MaxTokens; most > 0 {
-		answer = min(answer, most)
+	if limit := c.req.Meta.MaxTokens; limit > 0 {
+		answer = min(answer, limit)
 	}
 	return float64(c.req.Meta.PromptTokens + answer)
 }
 
-// attempt sends the request over one path and forwards the events of the answer.
-func (c *call) attempt(ctx context.Context, s *pkconfig.Service, p targetPath, state *streamState) (err error) {
+// sendOverPath sends the request over one path and forwards the events of the answer.
+func (c *call) sendOverPath(ctx context.Context, s *pkconfig.Service, p targetPath, state *streamState) (err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	c.path = p.String()
@@ -212,36 +212,36 @@
 	watch := c.startWatchdog(ctx, a)
 	defer watch.stop()
 	send := pkforward.SendOptions{TimeBudget: c.deadline.Sub(a.began), Target: p.first().ID, Account: c.account, Path: p.hops, LastEventID: state.lastEventID}
-	answer, err := c.Sender.Do(ctx, p.first().Addr, &c.req, send)
+	resp, err := c.Sender.Do(ctx, p.first().Addr, &c.req, send)
 	if err != nil {
-		c.recordPathFailure(ctx, a, answer, err)
+		c.recordPathFailure(ctx, a, resp, err)
 		return err
 	}
-	defer answer.Close()
-	if answer.Status/100 != 2 {
-		body, err := answer.ReadAll(maxBufferedAnswer)
+	defer resp.Close()
+	if resp.Status/100 != 2 {
+		body, err := resp.ReadAll(maxBufferedAnswer)
 		if err != nil {
 			return err
 		}
-		if c.headSent || (answer.Status >= http.StatusInternalServerError && a.canRetry) {
+		if c.headSent || (resp.Status >= http.StatusInternalServerError && a.canRetry) {
 			return &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: errTargetFailure}
 		}
-		return c.forward(answer, body)
+		return c.forward(resp, body)
 	}
-	if !answer.Sealed || answer.Header.Get("Content-Encoding") != "" {
+	if !resp.Sealed || resp.Header.Get("Content-Encoding") != "" {
 		return &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: errAlteredAnswer}
 	}
-	return c.forwardEvents(ctx, a, answer, state, watch)
+	return c.forwardEvents(ctx, a, resp, state, watch)
 }
 
 // forwardEvents forwards complete events to the caller as they arrive.
-func (c *call) forwardEvents(ctx context.Context, a *attempt, answer *pkforward.Response, state *streamState, watch *watchdog) error {
-	events := pkforward.NewEventReader(answer.Body)
+func (c *call) forwardEvents(ctx context.Context, a *attempt, resp *pkforward.Response, state *streamState, watch *watchdog) error {
+	events := pkforward.NewEventReader(resp.Body)
 	control := http.NewResponseController(c.w)
 	for {
 		ev, err := events.Next()
 		if errors.Is(err, io.EOF) {
-			return c.endStream(answer, state)
+			return c.streamResult(resp, state)
 		}
 		if err != nil {
 			if cause := context.Cause(ctx); errors.Is(cause, errPathSilent) || errors.Is(cause, errRerouted) {
@@ -253,11 +253,11 @@
 			c.headSent = true
 			c.firstEvent = time.Since(c.began)
 			c.metrics.firstEvent.Observe(c.firstEvent.Seconds())
-			// Headers are copied only now: if the attempt failed before its first event, they
-			// would put the target's signature on an error answer of the router.
-			pkforward.CopyHeaders(c.w.Header(), answer.Header)
+			// Headers are copied only now: if the attempt failed before its first event, they would
+			// put the target's seal on an error answer of the router.
+			pkforward.CopyHeaders(c.w.Header(), resp.Header)
 			delete(c.w.Header(), "Content-Length")
-			c.w.WriteHeader(answer.Status)
+			c.w.WriteHeader(resp.Status)
 		}
 		if _, err := c.w.Write(ev.Raw); err != nil {
 			return errCallerLeft
@@ -269,7 +269,7 @@
 		c.events++
 		now := time.Now()
 		if c.events > 1 {
-			c.longestPause = max(c.longestPause, now.Sub(c.lastEventAt))
+			c.longestGap = max(c.longestGap, now.Sub(c.lastEventAt))
 		}
 		c.lastEventAt = now
 		if !events.Buffered() {
@@ -284,8 +284,9 @@
 	}
 }
 
-// endStream ends the caller's answer as complete. An answer without any event counts as broken off.
-func (c *call) endStream(answer *pkforward.Response, state *streamState) error {
+// streamResult returns the result of an answer that ended normally: one without any event counts as
+// broken off.
+func (c *call) streamResult(resp *pkforward.Response, state *streamState) error {
 	if state.events == 0 {
 		return &pkverdict.Error{Verdict: pkverdict.MayHaveRun, Reason: pkverdict.ReasonTargetLost, Err: io.ErrUnexpectedEOF}
 	}
@@ -295,26 +296,26 @@
 
 // recordPathFailure avoids the target that caused a failed send: the one named in the answer, or
 // the first of the path.
-func (c *call) recordPathFailure(ctx context.Context, a *attempt, answer *pkforward.Response, err error) {
+func (c *call) recordPathFailure(ctx context.Context, a *attempt, resp *pkforward.Response, err error) {
 	now := time.Now()
 	if c.r.Context().Err() != nil || errors.Is(context.Cause(ctx), errPathSilent) || errors.Is(context.Cause(ctx), errRerouted) {
 		return
 	}
-	fault := a.currentPath().first()
-	if answer != nil && answer.FaultAddr != "" {
+	culprit := a.currentPath().first()
+	if resp != nil && resp.FaultAddr != "" {
 		for _, t := range a.currentPath().targets {
-			if t.Addr == answer.FaultAddr {
-				fault = t
+			if t.Addr == resp.FaultAddr {
+				culprit = t
 			}
 		}
 	}
 	var until time.Time
-	if answer != nil && answer.Status == http.StatusMisdirectedRequest {
-		until = c.suspectMisplaced(now, fault)
+	if resp != nil && resp.Status == http.StatusMisdirectedRequest {
+		until = c.suspectStaleRecord(now, culprit)
 	} else {
-		until = c.avoidFailed(now, fault, err)
-		c.queueRefusedEngine(now, a, fault, answer)
+		until = c.avoidFailed(now, culprit, err)
+		c.queueRefusalCause(now, a, culprit, resp)
 	}
-	c.log.Info("target avoided after a failed send", "target", fault.ID, "request_id", c.req.Meta.ID, "path", a.currentPath().String(),
+	c.log.Info("target avoided after a failed send", "target", culprit.ID, "request_id", c.req.Meta.ID, "path", a.currentPath().String(),
 		"for_ms", until.Sub(now).Milliseconds(), "error", err)
 }
--- a/pkedge/stream_test.go
+++ b/pkedge/stream_test.go
@@ -52,7 +52,7 @@
 		got := n.do(t, http.MethodPost, "/talk/1", "talk-heads", platformtest.Key, 30)
 		assert.NilError(t, got.err)
 		assert.Equal(t, got.status, http.StatusBadGateway)
-		assert.Equal(t, got.header.Get(platformtest.SealHeader), "", "an error answer of the router is not signed")
+		assert.Equal(t, got.header.Get(platformtest.SealHeader), "", "an error answer of the router is not sealed")
 	})
 	t.Run("both attempts are cut", func(t *testing.T) {
 		w.SetNextBehaviors(platformtest.Truncated, platformtest.Truncated)
@@ -77,7 +77,7 @@
 }
 
 // Guards against breaking off a stream by moving it off a draining engine, which keeps serving for
-// seconds, while no other engine has room.
+// seconds, while no other engine has capacity.
 func TestStreamsStayOnADrainingEngineWithoutAlternative(t *testing.T) {
 	t.Parallel()
 	w := platformtest.NewPlatform()
--- a/pkedge/suspect.go
+++ b/pkedge/suspect.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// suspectTTL is how long a dead engine is avoided. Its entry in the list expires or is replaced
-	// within that time.
+	// suspectTTL is how long a dead engine is avoided. Its record expires or is replaced within
+	// that time.
 	suspectTTL = 4 * time.Second
 	// livenessTimeout bounds the report of an engine that is checked for liveness; live engines
 	// answer within a few milliseconds under any load.
@@ -30,10 +30,10 @@
 type suspicion struct {
 	until time.Time
 	fault fault
-	// born identifies the start of the target and entry the revision of its list entry that the
-	// suspicion is based on.
-	born  pkid.StartTime
-	entry pkstore.Revision
+	// startTime identifies the start of the target, and recordRevision is the revision of its
+	// record that the suspicion is based on.
+	startTime      pkid.StartTime
+	recordRevision pkstore.Revision
 }
 
 // fault is the kind of fault of a target; a higher value is stronger evidence.
@@ -43,8 +43,8 @@
 const (
 	// faultSilent is the fault of a target that does not answer.
 	faultSilent fault = iota
-	// faultMisplaced is the fault of a target that does not hold the layers in its list entry.
-	faultMisplaced
+	// faultStaleRecord is the fault of a target that does not serve what its record lists.
+	faultStaleRecord
 	// faultGone is the fault of a target whose process has ended.
 	faultGone
 )
@@ -53,10 +53,10 @@
 // that do not answer. One that answers is merely slow: moving all of its streams at once would
 // overload other engines.
 func (d *Daemon) suspectStalledEngines(ctx context.Context, now time.Time, all []*attempt) {
-	flows := make([]pkstall.Stream, 0, len(all))
+	streams := make([]pkstall.Stream, 0, len(all))
 	for _, a := range all {
-		if f, overEngines := a.flow(); overEngines {
-			flows = append(flows, f)
+		if f, overEngines := a.stallInput(); overEngines {
+			streams = append(streams, f)
 		}
 	}
 	evidence := pkstall.Evidence{TieBreak: rand.Uint64(), Answered: func(id pkid.TargetID) time.Time {
@@ -65,7 +65,7 @@
 		}
 		return time.Time{}
 	}}
-	for _, id := range pkstall.ProbeTargets(now, flows, evidence) {
+	for _, id := range pkstall.ProbeTargets(now, streams, evidence) {
 		t, found := d.roster.Target(id)
 		if !found || t.Avoided(now) || !t.AllowProbe(now, livenessInterval) {
 			continue
@@ -74,14 +74,15 @@
 	}
 }
 
-// checkLiveness asks an engine for a report, and another engine at the same time as a control, and
-// reports whether the first one is dead. The control tells a dead engine from a stall of this VM.
+// checkLiveness requests a report of an engine, and of another engine at the same time as a
+// control, and reports whether the first one is dead. The control distinguishes a dead engine from
+// a stall of this VM.
 func (d *Daemon) checkLiveness(ctx context.Context, t *pkreplica.Target) bool {
-	call, cancel := context.WithTimeout(ctx, livenessTimeout)
+	probeCtx, cancel := context.WithTimeout(ctx, livenessTimeout)
 	defer cancel()
 	control := make(chan error, 1)
-	go func() { control <- d.checkControl(call, t) }()
-	_, err := d.readReport(call, t)
+	go func() { control <- d.checkControl(probeCtx, t) }()
+	_, err := d.readReport(probeCtx, t)
 	if ctx.Err() != nil {
 		return false
 	}
@@ -111,10 +112,10 @@
 	return err
 }
 
-// suspect avoids a target after a failure and tells the other entries. A target that refuses
-// connections has no process, and all streams through it are lost.
+// suspect avoids a target after a failure and reports it to the other entries. A target that
+// refuses connections has no process, and all streams through it are lost.
 func (d *Daemon) suspect(t *pkreplica.Target, until time.Time, err error) {
-	s := suspicion{until: until, born: t.Born}
+	s := suspicion{until: until, startTime: t.Born}
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		s.fault = faultGone
 	}
@@ -122,13 +123,14 @@
 	d.gossip.announceSuspicion(t.ID, s)
 }
 
-// suspectMisplaced avoids a target that refused a part of a path because it does not hold those
-// layers, and tells the other entries. The suspicion holds until the target's list entry changes:
-// it has restarted empty, and the list shows that only after the target has reached the store.
-func (d *Daemon) suspectMisplaced(now time.Time, t *pkreplica.Target) time.Time {
-	s := suspicion{until: now.Add(misdirectedTTL), fault: faultMisplaced, born: t.Born, entry: d.roster.Revision(t.ID)}
+// suspectStaleRecord avoids a target that does not serve what its record lists, and reports it to
+// the other entries: it lacks the layers, since it has restarted empty, or is draining. The
+// suspicion holds until the target's record changes, which takes until the target has reached the
+// store.
+func (d *Daemon) suspectStaleRecord(now time.Time, t *pkreplica.Target) time.Time {
+	s := suspicion{until: now.Add(misdirectedTTL), fault: faultStaleRecord, startTime: t.Born, recordRevision: d.roster.Revision(t.ID)}
 	if latest, found := d.roster.Target(t.ID); !found || latest != t {
-		return now // the list entry has changed since the target was chosen
+		return now // the record has changed since the target was chosen
 	}
 	d.applySuspicion(t, s)
 	d.gossip.announceSuspicion(t.ID, s)
@@ -140,21 +142,21 @@
 	case faultGone:
 		t.MarkGone(s.until)
 		d.streams.wakeUp()
-	case faultMisplaced:
+	case faultStaleRecord:
 		t.MarkStaleRecord(s.until)
 	case faultSilent:
 		t.MarkDead(s.until)
 	}
 }
 
-// announceSuspicion tells the other entries of a suspicion at once if it is new. Suspicions
-// received from other entries are forwarded in the same way; one that comes back is not new and
-// ends there.
+// announceSuspicion reports a suspicion to the other entries at once if it is new. Suspicions
+// received from other entries are forwarded in the same way; one that comes back is not forwarded
+// again.
 func (s *gossip) announceSuspicion(t pkid.TargetID, next suspicion) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.suspects[t]
-	if old.born == next.born && next.until.Sub(old.until) <= suspectTTL/2 && old.fault >= next.fault {
+	if old.startTime == next.startTime && next.until.Sub(old.until) <= suspectTTL/2 && old.fault >= next.fault {
 		return
 	}
 	s.suspects[t] = next
@@ -162,14 +164,14 @@
 }
 
 // receiveSuspicion applies a suspicion reported by another entry and forwards it if there are hubs.
-// Reports about an earlier start of the target, or an earlier list entry of it, are dropped.
+// Reports about an earlier start of the target, or an earlier record of it, are dropped.
 func (d *Daemon) receiveSuspicion(now time.Time, from pkid.EntryID, report pkshare.Suspect) {
-	s := suspicion{until: now.Add(time.Duration(report.RemainingMS) * time.Millisecond), born: report.Born, entry: report.RecordRevision}
+	s := suspicion{until: now.Add(time.Duration(report.RemainingMS) * time.Millisecond), startTime: report.Born, recordRevision: report.RecordRevision}
 	switch {
 	case report.Gone:
 		s.fault = faultGone
 	case report.StaleRecord:
-		s.fault = faultMisplaced
+		s.fault = faultStaleRecord
 	}
 	if d.roster.Restarted(report.Target, report.Born) {
 		d.streams.wakeUp()
@@ -191,8 +193,8 @@
 
 // outdated reports whether newer information about a target supersedes a suspicion.
 func (d *Daemon) outdated(t *pkreplica.Target, s suspicion) bool {
-	if s.born != 0 && t.Born > s.born {
+	if s.startTime != 0 && t.Born > s.startTime {
 		return true
 	}
-	return s.fault == faultMisplaced && d.roster.Revision(t.ID) > s.entry
+	return s.fault == faultStaleRecord && d.roster.Revision(t.ID) > s.recordRevision
 }
--- a/pkedge/watchdog.go
+++ b/pkedge/watchdog.go
@@ -8,9 +8,9 @@
 
 const (
 	// firstEventTimeout is how long a stream may wait for its first event before its path is
-	// checked. A prompt is read within 300 ms under load.
+	// checked.
 	firstEventTimeout = 900 * time.Millisecond
-	// nextEventTimeout is the same between events, which come every 30 to 60 ms.
+	// nextEventTimeout is the same between events.
 	nextEventTimeout = 450 * time.Millisecond
 	// maxSilentChecks is the number of checks after which a path without a first event is given up.
 	maxSilentChecks = 3
@@ -63,7 +63,8 @@
 }
 
 // checkStalled asks the first engine of a path for stalled requests, suspects the engines that they
-// wait for and reports whether this request is among them.
+// wait for and reports whether this request is among them. An unreachable first engine is suspected
+// too, and counts as stalled.
 func (c *call) checkStalled(parent context.Context, a *attempt) bool {
 	ctx, cancel := context.WithTimeout(parent, orderTimeout/2)
 	defer cancel()
@@ -83,7 +84,7 @@
 	if err != nil {
 		if c.r.Context().Err() == nil {
 			c.suspect(first, now.Add(suspectTTL), err)
-			c.log.Info("unresponsive engine suspected", "target", first.ID, "request_id", c.req.Meta.ID, "error", err)
+			c.log.Info("engine suspected after a failed report", "target", first.ID, "request_id", c.req.Meta.ID, "error", err)
 		}
 		return true
 	}
