--- a/pkshare/message.go
+++ b/pkshare/message.go
@@ -87,8 +87,8 @@
 	Gone bool `cbor:"3,keyasint,omitempty"`
 	// Born is the start of the target that was found faulty, where it is known.
 	Born pkid.StartTime `cbor:"4,keyasint,omitempty"`
-	// Misplaced is set if the target does not hold the layers of its record at RecordRevision; a
+	// StaleRecord is set if the target does not hold the layers of its record at RecordRevision; a
 	// later record is trusted again.
-	Misplaced      bool             `cbor:"5,keyasint,omitempty"`
+	StaleRecord    bool             `cbor:"5,keyasint,omitempty"`
 	RecordRevision pkstore.Revision `cbor:"6,keyasint,omitempty"`
 }
