--- a/pkedge/era.go
+++ b/pkedge/era.go
@@ -73,7 +73,7 @@
 
 // resaveAll marks all quarantined requests at now to be saved again, and returns their number.
 func (q *quarantine) resaveAll(now time.Time) int {
-	held := q.table.IsQuarantined(now)
+	held := q.table.QuarantinedCases(now)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, one := range held {
--- a/pkedge/gossip.go
+++ b/pkedge/gossip.go
@@ -222,7 +222,7 @@
 		m.NewRecords, m.RecordsAfter = d.roster.Since(catchUp.After), &catchUp.After
 	}
 	if catchUp.Quarantine {
-		m.Cases = append(d.quarantine.table.IsQuarantined(now), m.Cases...)
+		m.Cases = append(d.quarantine.table.QuarantinedCases(now), m.Cases...)
 	}
 	return catchUp.Config || catchUp.List || catchUp.Quarantine
 }
--- a/pkedge/quarantine.go
+++ b/pkedge/quarantine.go
@@ -259,7 +259,7 @@
 		return nil
 	}
 	maps.DeleteFunc(q.unsaved, func(digest pkquarantine.Digest, _ bool) bool { return !q.table.Knows(digest) })
-	return slices.DeleteFunc(q.table.IsQuarantined(now), func(c pkquarantine.Case) bool { return !q.unsaved[c.Digest] })
+	return slices.DeleteFunc(q.table.QuarantinedCases(now), func(c pkquarantine.Case) bool { return !q.unsaved[c.Digest] })
 }
 
 func (d *Daemon) markSaved(digest pkquarantine.Digest) {
--- a/pkquarantine/table.go
+++ b/pkquarantine/table.go
@@ -212,8 +212,8 @@
 	return max(sum, 1)
 }
 
-// IsQuarantined returns the cases of the requests quarantined at now.
-func (t *Table) IsQuarantined(now time.Time) []Case {
+// QuarantinedCases returns the cases of the requests quarantined at now.
+func (t *Table) QuarantinedCases(now time.Time) []Case {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Case
--- a/pkquarantine/table_test.go
+++ b/pkquarantine/table_test.go
@@ -218,7 +218,7 @@
 func TestStoredCaseIsAged(t *testing.T) {
 	var table, restored Table
 	table.crashN(epoch, 7, CrashLimit)
-	saved := table.IsQuarantined(epoch)[0]
+	saved := table.QuarantinedCases(epoch)[0]
 	restored.MergeCases(epoch, []Case{saved.Aged(time.Minute)})
 	assert.Equal(t, restored.Remaining(epoch, 7), Period-time.Minute)
 	assert.DeepEqual(t, saved.Aged(-time.Minute), saved)
@@ -271,7 +271,7 @@
 		assert.Assert(t, remaining >= 0 && remaining <= Period, "%v", remaining)
 		quarantined, known := table.Counts(epoch)
 		assert.Assert(t, quarantined <= known && known <= 1)
-		for _, sent := range append(table.RecentChanges(epoch), table.IsQuarantined(epoch)...) {
+		for _, sent := range append(table.RecentChanges(epoch), table.QuarantinedCases(epoch)...) {
 			assert.Assert(t, len(sent.Crashes) <= maxCrashes)
 		}
 		assert.Equal(t, table.Remaining(epoch.Add(retention), c.Digest), time.Duration(0))
