--- a/pkentry/admin.go
+++ b/pkentry/admin.go
@@ -115,8 +115,8 @@
 			s.Neighbors = append(s.Neighbors, m.Entry)
 		}
 	}
-	if twins := e.peers.table.MembersSharingID(now); len(twins) > 0 {
-		s.Alarm = fmt.Sprintf("two VMs have the entry id %s; give one another id in its settings", twins[0].Entry)
+	if duplicates := e.peers.table.MembersSharingID(now); len(duplicates) > 0 {
+		s.Alarm = fmt.Sprintf("two VMs have the entry id %s; give one another id in its settings", duplicates[0].Entry)
 	}
 	e.manifest.mu.Lock()
 	s.StoreOK = e.manifest.storeOK
--- a/pkentry/callers.go
+++ b/pkentry/callers.go
@@ -118,23 +118,23 @@
 
 // deadline returns the deadline of the call, from the timeout header within the manifest's limits.
 func (c *call) deadline() (time.Time, error) {
-	var ask time.Duration
+	var requested time.Duration
 	if text := c.r.Header.Get(pkopenai.HeaderDeadline); text != "" {
 		d, err := time.ParseDuration(text)
 		if err != nil || d <= 0 {
 			return time.Time{}, c.invalid(http.StatusBadRequest, "bad_timeout", pkopenai.HeaderDeadline+" must be a duration such as 800ms or 20s")
 		}
-		ask = d
+		requested = d
 	}
-	return c.began.Add(c.view.Manifest.Limits.Deadline(ask)), nil
+	return c.began.Add(c.view.Manifest.Limits.Deadline(requested)), nil
 }
 
 // admit waits for admission by the pool's gate. The returned function releases the slot and reports
 // the number of tokens used.
-func (c *call) admit(ctx context.Context, g *gate, ask pkadmit.Request) (func(pkid.Tokens), error) {
+func (c *call) admit(ctx context.Context, g *gate, req pkadmit.Request) (func(pkid.Tokens), error) {
 	_, span := c.tracer.Start(ctx, "admission")
 	defer span.End()
-	t, refusal := g.Enter(time.Now(), ask)
+	t, refusal := g.Enter(time.Now(), req)
 	if refusal != nil {
 		return nil, c.overload(refusal)
 	}
--- a/pkentry/chat.go
+++ b/pkentry/chat.go
@@ -57,7 +57,7 @@
 	run := pkanswer.Request{
 		ID:           c.id,
 		Digest:       c.digest(req, prompt),
-		Spec:         c.chooseWant(m, adapter),
+		Spec:         c.chooseSpec(m, adapter),
 		Prompt:       prompt,
 		PromptTokens: pkopenai.EstimateTokens(prompt),
 		MaxTokens:    min(req.MaxTokensOr(limits.MaxOutputTokens), limits.MaxOutputTokens),
@@ -135,38 +135,38 @@
 	}
 	var used pkid.Tokens
 	defer func() { leave(run.PromptTokens + used) }()
-	head := pkopenai.ResponseInfo{ID: c.id, Model: pkid.ModelID(req.Model), Created: c.began, Endpoint: endpoint}
-	out := answerSink{head: head}
+	info := pkopenai.ResponseInfo{ID: c.id, Model: pkid.ModelID(req.Model), Created: c.began, Endpoint: endpoint}
+	out := answerSink{info: info}
 	if req.Stream {
 		include := req.StreamOptions != nil && req.StreamOptions.IncludeUsage
-		out.stream = pkopenai.NewStream(c.w, head, include)
+		out.stream = pkopenai.NewStream(c.w, info, include)
 	}
 	sink := &timedSink{sink: &out, call: c, last: c.began}
-	finish, err := c.runner.Run(ctx, run, sink, g.budget, &attemptTracer{call: c})
-	used = finish.Tokens
-	c.record(run, req, finish)
+	result, err := c.runner.Run(ctx, run, sink, g.budget, &attemptTracer{call: c})
+	used = result.Tokens
+	c.record(run, req, result)
 	if err != nil {
 		return c.failStream(&out, err)
 	}
-	g.output.Observe(run.MaxTokens, finish.Tokens)
-	return out.end(c.w, finish, pkopenai.NewUsage(run.PromptTokens, finish.Tokens))
+	g.output.Observe(run.MaxTokens, result.Tokens)
+	return out.end(c.w, result, pkopenai.NewUsage(run.PromptTokens, result.Tokens))
 }
 
-// minServiceTime estimates how long a request runs after admission: prefill of its prompt, plus the
-// decoding of output tokens. It returns zero if no chain is available.
+// minServiceTime estimates how long a request runs after admission: the prefill of its prompt plus
+// the decoding of its output tokens. It returns zero if no chain is available.
 func (c *call) minServiceTime(run pkanswer.Request, output pkid.Tokens) time.Duration {
 	now := time.Now()
 	chain, err := c.Choose(now, run.Spec, nil)
 	if err != nil {
 		return 0
 	}
-	least := time.Duration(output) * chain.StepTime
+	estimate := time.Duration(output) * chain.StepTime
 	for _, t := range chain.Stages {
 		if r, _, known := t.LastReport(now); known {
-			least += time.Duration(run.PromptTokens) * r.Prefill
+			estimate += time.Duration(run.PromptTokens) * r.Prefill
 		}
 	}
-	return least
+	return estimate
 }
 
 // failStream ends a started stream with an error event, so that the client does not take it for
@@ -204,7 +204,7 @@
 
 // answerSink writes tokens to a stream, or collects them for a response sent as a whole.
 type answerSink struct {
-	head   pkopenai.ResponseInfo
+	info   pkopenai.ResponseInfo
 	stream *pkopenai.Stream
 	text   strings.Builder
 }
@@ -222,7 +222,7 @@
 	if a.stream != nil {
 		return a.stream.Finish(f.FinishReason, u)
 	}
-	return pkopenai.WriteCompletion(w, a.head, a.text.String(), f.FinishReason, u)
+	return pkopenai.WriteCompletion(w, a.info, a.text.String(), f.FinishReason, u)
 }
 
 // timedSink records the time to the first token and between tokens.
--- a/pkentry/claims.go
+++ b/pkentry/claims.go
@@ -139,10 +139,10 @@
 	defer cancel()
 	self := e.peers.table.Self()
 	claimsByInstance := map[pkmember.Instance][]pkmember.Claim{}
-	for _, held := range e.claims.table.Active(time.Now()) {
-		for _, m := range pkmember.TopRanked(members, string(held.Key), claimReplicas) {
+	for _, claim := range e.claims.table.Active(time.Now()) {
+		for _, m := range pkmember.TopRanked(members, string(claim.Key), claimReplicas) {
 			if m.Instance != self.Instance {
-				claimsByInstance[m.Instance] = append(claimsByInstance[m.Instance], pkmember.Claim{Key: string(held.Key), Holder: held.Holder})
+				claimsByInstance[m.Instance] = append(claimsByInstance[m.Instance], pkmember.Claim{Key: string(claim.Key), Holder: claim.Holder})
 			}
 		}
 	}
--- a/pkentry/inbound.go
+++ b/pkentry/inbound.go
@@ -58,7 +58,7 @@
 	// A discovery probe closes after the handshake. The connection is registered with the first
 	// message after it, because registration resets the peer's counts.
 	var connection uint64
-	var names pkmember.RefDecoder
+	var refs pkmember.RefDecoder
 	defer func() { table.Disconnected(h.From.Instance, connection) }()
 	for {
 		wait, cancel := context.WithTimeout(ctx, peerIdleTimeout)
@@ -71,7 +71,7 @@
 			connection = table.Connected(time.Now(), h.From)
 		}
 		if m.Update != nil {
-			if err := names.Resolve(m.Update); err != nil {
+			if err := refs.Resolve(m.Update); err != nil {
 				return err
 			}
 		}
@@ -106,8 +106,8 @@
 }
 
 // requestNewerManifest requests a peer's manifest if it is newer than the one in force.
-func (e *Entry) requestNewerManifest(ctx context.Context, c *pkpeer.Conn[pkmember.Message], s *pkmember.Update) error {
-	if s.Revision == 0 {
+func (e *Entry) requestNewerManifest(ctx context.Context, c *pkpeer.Conn[pkmember.Message], u *pkmember.Update) error {
+	if u.Revision == 0 {
 		return nil
 	}
 	var rev pkid.Revision
@@ -115,12 +115,12 @@
 	if view := e.view.Load(); view != nil {
 		rev, digest = view.Revision, view.Digest
 	}
-	switch pkhead.Compare(rev, digest, s.Revision, s.Digest) {
+	switch pkhead.Compare(rev, digest, u.Revision, u.Digest) {
 	case pkhead.Adopt:
-		if !e.peers.shouldRequest(s.Revision, time.Now()) {
+		if !e.peers.shouldRequest(u.Revision, time.Now()) {
 			return nil
 		}
-		_, err := c.Send(ctx, pkmember.Message{ManifestRequest: &pkmember.ManifestRequest{Revision: s.Revision}})
+		_, err := c.Send(ctx, pkmember.Message{ManifestRequest: &pkmember.ManifestRequest{Revision: u.Revision}})
 		return err
 	case pkhead.Conflict:
 		e.setAlarm(fmt.Sprintf("a peer has another manifest as revision %d", rev))
--- a/pkentry/link.go
+++ b/pkentry/link.go
@@ -97,7 +97,7 @@
 	sent := newSentState()
 	sameNeighborhood := l.to.Neighborhood == e.peers.table.Self().Neighborhood
 	for {
-		size, err := c.Send(ctx, pkmember.Message{Update: e.nextShare(sent, sameNeighborhood), Leaving: e.leaving.Load()})
+		size, err := c.Send(ctx, pkmember.Message{Update: e.nextUpdate(sent, sameNeighborhood), Leaving: e.leaving.Load()})
 		if err != nil {
 			return err
 		}
--- a/pkentry/routes.go
+++ b/pkentry/routes.go
@@ -22,10 +22,10 @@
 	links pkroute.Links
 	from  pkid.DataCenter
 
-	mu      sync.RWMutex
-	changes uint64
-	plans   map[pkroute.ChainSpec]*pkroute.Plan
-	pools   map[pkid.PoolID][]*pktarget.Target
+	mu         sync.RWMutex
+	generation uint64
+	plans      map[pkroute.ChainSpec]*pkroute.Plan
+	pools      map[pkid.PoolID][]*pktarget.Target
 }
 
 func (s Settings) links() pkroute.Links {
@@ -37,11 +37,11 @@
 	return l
 }
 
-// Choose returns a chain for want without the targets in avoid. If no chain exists without ejected
+// Choose returns a chain for spec without the targets in avoid. If no chain exists without ejected
 // targets, it falls back to ejected ones, because a fault that ejects all targets at once is
 // probably transient.
-func (e *Entry) Choose(now time.Time, want pkroute.ChainSpec, avoid []pkid.TargetID) (pkroute.Chain, error) {
-	p, a := e.plan(want), e.criteria(now, avoid)
+func (e *Entry) Choose(now time.Time, spec pkroute.ChainSpec, avoid []pkid.TargetID) (pkroute.Chain, error) {
+	p, a := e.plan(spec), e.criteria(now, avoid)
 	c, err := p.Choose(a)
 	if err == nil {
 		return c, nil
@@ -67,11 +67,11 @@
 
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-func (e *Entry) plan(want pkroute.ChainSpec) *pkroute.Plan {
+func (e *Entry) plan(spec pkroute.ChainSpec) *pkroute.Plan {
 	r := &e.routes
 	r.mu.RLock()
-	p, found := r.plans[want]
-	fresh := r.changes == e.targets.Generation()
+	p, found := r.plans[spec]
+	fresh := r.generation == e.targets.Generation()
 	r.mu.RUnlock()
 	if found && fresh {
 		return p
@@ -79,21 +79,21 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refresh(&e.targets)
-	p, found = r.plans[want]
+	p, found = r.plans[spec]
 	if !found {
-		p = pkroute.NewPlan(want, r.pools[want.Pool])
-		r.plans[want] = p
+		p = pkroute.NewPlan(spec, r.pools[spec.Pool])
+		r.plans[spec] = p
 	}
 	return p
 }
 
 // refresh drops all cached plans if the target table has changed. The caller holds r.mu.
 func (r *routeCache) refresh(t *pktarget.Table) {
-	changes := t.Generation()
-	if r.plans != nil && r.changes == changes {
+	generation := t.Generation()
+	if r.plans != nil && r.generation == generation {
 		return
 	}
-	r.changes = changes
+	r.generation = generation
 	r.plans = map[pkroute.ChainSpec]*pkroute.Plan{}
 	r.pools = map[pkid.PoolID][]*pktarget.Target{}
 	for _, target := range t.All() {
@@ -109,30 +109,30 @@
 	return r.pools[id]
 }
 
-func wantOf(m *pkmanifest.Model, adapter pkid.AdapterID) pkroute.ChainSpec {
+func specOf(m *pkmanifest.Model, adapter pkid.AdapterID) pkroute.ChainSpec {
 	return pkroute.ChainSpec{Pool: m.Pool, Model: m.ID, Version: m.Version, Adapter: adapter, Layers: m.Layers}
 }
 
-// chooseWant returns what a new request should run on; a request keeps its model version until it
+// chooseSpec returns the chain spec of a new request; a request keeps its model version until it
 // ends. During a roll-out engines hold two versions. The manifest's version is preferred while it has
 // free slots; otherwise the fastest available chain decides, so that the capacity of the previous
 // version stays in use and no request fails because the new version has no complete chain yet.
-func (e *Entry) chooseWant(m *pkmanifest.Model, adapter pkid.AdapterID) pkroute.ChainSpec {
-	want := wantOf(m, adapter)
+func (e *Entry) chooseSpec(m *pkmanifest.Model, adapter pkid.AdapterID) pkroute.ChainSpec {
+	spec := specOf(m, adapter)
 	versions := pkorder.Versions(m, e.pool(m.Pool))
 	if len(versions) == 1 {
-		return want
+		return spec
 	}
 	now := time.Now()
-	best, bestStep := want, time.Duration(math.MaxInt64)
+	best, bestStep := spec, time.Duration(math.MaxInt64)
 	for _, v := range versions {
-		candidate := want
+		candidate := spec
 		candidate.Version = v
 		chain, err := e.Choose(now, candidate, nil)
 		if err != nil {
 			continue
 		}
-		if v == m.Version && hasRoom(chain) {
+		if v == m.Version && hasFreeSlots(chain) {
 			return candidate
 		}
 		if chain.StepTime < bestStep {
@@ -142,7 +142,7 @@
 	return best
 }
 
-func hasRoom(c pkroute.Chain) bool {
+func hasFreeSlots(c pkroute.Chain) bool {
 	for _, t := range c.Stages {
 		if t.FreeSlots() < 1 {
 			return false
@@ -157,7 +157,7 @@
 	byPool map[pkid.PoolID]*gate
 }
 
-// gate is a pool's admission gate with its retry budget and its forecast of output lengths.
+// gate is a pool's admission gate with its retry budget and its estimator of output lengths.
 type gate struct {
 	*pkadmit.Gate
 	budget *pkadmit.RetryBudget
@@ -237,9 +237,9 @@
 		if m := &view.Manifest.Models[i]; m.Pool == id {
 			models++
 			for _, v := range pkorder.Versions(m, e.pool(id)) {
-				want := wantOf(m, "")
-				want.Version = v
-				total += e.plan(want).Flow(usable)
+				spec := specOf(m, "")
+				spec.Version = v
+				total += e.plan(spec).Flow(usable)
 			}
 		}
 	}
@@ -253,9 +253,9 @@
 	return max(int(e.slotShare(id, total*slotOvercommit, now)), 1)
 }
 
-// slotShare returns this entry's share of a pool's slots: what its neighbors leave free, but at least
-// minShareFactor times an even share. Load is not spread evenly over entries and the neighbors'
-// counts lag, so a strictly even share would queue requests while slots are free.
+// slotShare returns this entry's share of a pool's slots: the slots that its neighbors leave free,
+// but at least minShareFactor times an even share. Load is not spread evenly over entries and the
+// neighbors' counts lag, so a strictly even share would queue requests while slots are free.
 func (e *Entry) slotShare(id pkid.PoolID, total float64, now time.Time) float64 {
 	inFlight, neighbors := e.peers.table.Pool(now, id)
 	return max(total-float64(inFlight), min(minShareFactor*total/float64(neighbors+1), total))
--- a/pkentry/share.go
+++ b/pkentry/update.go
@@ -29,35 +29,35 @@
 	}
 }
 
-// nextShare returns the changes since the last Share to a peer. Peers outside the neighborhood get
+// nextUpdate returns the changes since the last update to a peer. Peers outside the neighborhood get
 // only the manifest revision and the known members.
-func (e *Entry) nextShare(t *sentState, sameNeighborhood bool) *pkmember.Update {
-	s := &pkmember.Update{}
+func (e *Entry) nextUpdate(sent *sentState, sameNeighborhood bool) *pkmember.Update {
+	u := &pkmember.Update{}
 	if view := e.view.Load(); view != nil {
-		s.Revision, s.Digest = view.Revision, view.Digest
+		u.Revision, u.Digest = view.Revision, view.Digest
 	}
 	for _, m := range e.peers.table.LiveMembers(time.Now()) {
-		if !t.known[m.Instance] {
-			t.known[m.Instance] = true
-			s.Known = append(s.Known, m)
+		if !sent.known[m.Instance] {
+			sent.known[m.Instance] = true
+			u.Known = append(u.Known, m)
 		}
 	}
 	if !sameNeighborhood {
-		return s
+		return u
 	}
-	e.addCounts(s, t)
-	e.addReports(s, t)
-	return s
+	e.addCounts(u, sent)
+	e.addReports(u, sent)
+	return u
 }
 
-// addCounts adds the changed request counts of targets and pools to s.
-func (e *Entry) addCounts(s *pkmember.Update, t *sentState) {
+// addCounts adds the changed request counts of targets and pools to u.
+func (e *Entry) addCounts(u *pkmember.Update, sent *sentState) {
 	for _, target := range e.targets.All() {
 		id, n := target.Info.ID, target.OwnRequests()
-		if n != t.counts[id] {
-			t.counts[id] = n
-			s.Refs = append(s.Refs, t.refs.Ref(id, s))
-			s.RefCounts = append(s.RefCounts, n)
+		if n != sent.counts[id] {
+			sent.counts[id] = n
+			u.Refs = append(u.Refs, sent.refs.Ref(id, u))
+			u.RefCounts = append(u.RefCounts, n)
 		}
 	}
 	e.gates.mu.Lock()
@@ -65,15 +65,15 @@
 	for id, g := range e.gates.byPool {
 		running, waiting, _ := g.Counts()
 		p := pkmember.PoolCount{Pool: id, InFlight: running, Waiting: waiting}
-		if t.pools[id] != p {
-			t.pools[id] = p
-			s.Pools = append(s.Pools, p)
+		if sent.pools[id] != p {
+			sent.pools[id] = p
+			u.Pools = append(u.Pools, p)
 		}
 	}
 }
 
-// addReports adds the changed reports of the targets that this entry polls to s.
-func (e *Entry) addReports(s *pkmember.Update, t *sentState) {
+// addReports adds the changed reports of the targets that this entry polls to u.
+func (e *Entry) addReports(u *pkmember.Update, sent *sentState) {
 	members := e.peers.table.Neighbors(time.Now())
 	for _, target := range e.targets.All() {
 		id := target.Info.ID
@@ -84,14 +84,14 @@
 		if r.MaxBatch == 0 {
 			continue
 		}
-		changedHolding := t.holdings[id] != h && !reflect.DeepEqual(t.holdings[id], h)
-		last, known := t.reports[id]
+		changedHolding := sent.holdings[id] != h && !reflect.DeepEqual(sent.holdings[id], h)
+		last, known := sent.reports[id]
 		if known && last == r && !changedHolding {
 			continue
 		}
-		t.reports[id] = r
+		sent.reports[id] = r
 		report := pkmember.Report{
-			Ref:       t.refs.Ref(id, s),
+			Ref:       sent.refs.Ref(id, u),
 			Active:    r.Active,
 			Queued:    r.Queued,
 			MaxBatch:  r.MaxBatch,
@@ -101,10 +101,10 @@
 			Leaving:   target.LeavingBy(pktarget.SourceTarget),
 		}
 		if changedHolding {
-			t.holdings[id] = h
+			sent.holdings[id] = h
 			report.Holding = h
 		}
-		s.Reports = append(s.Reports, report)
+		u.Reports = append(u.Reports, report)
 	}
 }
 
