--- a/pkconfig/config.go
+++ b/pkconfig/config.go
@@ -47,8 +47,8 @@
 	Services []WeightedService
 	// Timeout bounds the time to the complete response.
 	Timeout time.Duration
-	// LatencyObjective is the latency objective: the time to the response, for a stream to
-	// its first event.
+	// LatencyObjective is the objective for the time to the response, or to the first event of
+	// a stream.
 	LatencyObjective time.Duration
 	// GapObjective is the objective for the longest gap between events of a stream.
 	GapObjective time.Duration
--- a/pkconfig/table.go
+++ b/pkconfig/table.go
@@ -80,27 +80,27 @@
 }
 
 // Table returns the configuration in force, or nil before the first one.
-func (b *Holder) Table() *Table { return b.current.Load() }
+func (h *Holder) Table() *Table { return h.current.Load() }
 
 // Adopt puts a configuration in force and reports true, unless the same or a higher
 // version is in force already. Peers and late responses of the store can deliver an
 // older version, which would bring back revoked keys. So can a store restored from an
 // older copy: its revisions belong to a later era, but its versions may be lower. If
 // the version in force arrives from a later era, only the item is updated.
-func (b *Holder) Adopt(c Config, item pkstore.Item) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	current, rev := b.current.Load(), item.Revision
+func (h *Holder) Adopt(c Config, item pkstore.Item) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	current, rev := h.current.Load(), item.Revision
 	switch {
 	case current == nil:
 	case c.Version == current.Version && rev.Era() > current.Item.Revision.Era():
 		updated := *current
 		updated.Item = item
-		b.current.Store(&updated)
+		h.current.Store(&updated)
 		return false
 	case c.Version <= current.Version, rev.Era() == current.Item.Revision.Era() && rev <= current.Item.Revision:
 		return false
 	}
-	b.current.Store(NewTable(c, item))
+	h.current.Store(NewTable(c, item))
 	return true
 }
--- a/pkconfig/table_test.go
+++ b/pkconfig/table_test.go
@@ -29,16 +29,16 @@
 // order. Adopting an older version would restore a revoked key.
 func TestVersionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var b Holder
+		var h Holder
 		inForce := Version(0)
 		for _, v := range rapid.SliceOf(rapid.IntRange(1, 9)).Draw(t, "versions") {
-			adopted := b.Adopt(Config{Version: Version(v)}, itemAt(pkstore.Revision(10*v)))
+			adopted := h.Adopt(Config{Version: Version(v)}, itemAt(pkstore.Revision(10*v)))
 			if adopted != (Version(v) > inForce) {
 				t.Fatalf("version %d while %d is in force: adopted %v", v, inForce, adopted)
 			}
 			inForce = max(inForce, Version(v))
-			if b.Table().Version != inForce {
-				t.Fatalf("version %d is in force, %d expected", b.Table().Version, inForce)
+			if h.Table().Version != inForce {
+				t.Fatalf("version %d is in force, %d expected", h.Table().Version, inForce)
 			}
 		}
 	})
@@ -68,14 +68,14 @@
 			writes = append(writes, written{Version(version - 1), pkstore.NewRevision(pkstore.Era(era+1), number+1)})
 			number += 2
 		}
-		var b Holder
+		var h Holder
 		inForce := Version(0)
 		for _, w := range rapid.Permutation(writes).Draw(t, "order") {
-			b.Adopt(Config{Version: w.version}, itemAt(w.rev))
-			if b.Table().Version < inForce {
-				t.Fatalf("version %d in force after %d", b.Table().Version, inForce)
+			h.Adopt(Config{Version: w.version}, itemAt(w.rev))
+			if h.Table().Version < inForce {
+				t.Fatalf("version %d in force after %d", h.Table().Version, inForce)
 			}
-			inForce = b.Table().Version
+			inForce = h.Table().Version
 		}
 		if inForce != Version(version-1) {
 			t.Fatalf("version %d is in force, %d was written last", inForce, version-1)
@@ -86,11 +86,11 @@
 // An entry starts after the store was restored and reads an older version there. It must still adopt
 // the newer version that a peer has from the previous era.
 func TestNewEntryAdoptsNewerVersionOfEarlierEra(t *testing.T) {
-	var b Holder
-	assert.Assert(t, b.Adopt(Config{Version: 7}, itemAt(pkstore.NewRevision(2, 5))))
-	assert.Assert(t, b.Adopt(Config{Version: 9}, itemAt(pkstore.NewRevision(1, 8))))
-	assert.Equal(t, b.Table().Version, Version(9))
+	var h Holder
+	assert.Assert(t, h.Adopt(Config{Version: 7}, itemAt(pkstore.NewRevision(2, 5))))
+	assert.Assert(t, h.Adopt(Config{Version: 9}, itemAt(pkstore.NewRevision(1, 8))))
+	assert.Equal(t, h.Table().Version, Version(9))
 	// Operators write the same version again, at a revision of the present era.
-	assert.Assert(t, !b.Adopt(Config{Version: 9}, itemAt(pkstore.NewRevision(2, 6))))
-	assert.Equal(t, b.Table().Item.Revision, pkstore.NewRevision(2, 6))
+	assert.Assert(t, !h.Adopt(Config{Version: 9}, itemAt(pkstore.NewRevision(2, 6))))
+	assert.Equal(t, h.Table().Item.Revision, pkstore.NewRevision(2, 6))
 }
--- a/pkconn/replay_test.go
+++ b/pkconn/replay_test.go
@@ -57,7 +57,7 @@
 	cases := []struct {
 		name, method, key string
 		body              io.Reader
-		once              bool
+		nonReplayable     bool
 		want              int64
 	}{
 		{"GET", http.MethodGet, "", nil, true, 2},
@@ -81,7 +81,7 @@
 
 			var tracker Tracker
 			body := c.body
-			if c.once {
+			if c.nonReplayable {
 				body = NonReplayable(c.body)
 			}
 			req, err := http.NewRequestWithContext(tracker.Trace(context.Background()), c.method, "http://"+addr, body)
@@ -94,7 +94,7 @@
 				_ = resp.Body.Close()
 			}
 			assert.Equal(t, received.Load(), c.want)
-			if c.once {
+			if c.nonReplayable {
 				assert.Assert(t, err != nil)
 				assert.Equal(t, pkverdict.Decide(tracker.Progress()), pkverdict.MayHaveRun)
 			}
--- a/pkconn/transport.go
+++ b/pkconn/transport.go
@@ -40,15 +40,15 @@
 // http.NoBody and has no GetBody.
 func NonReplayable(body io.Reader) io.ReadCloser {
 	if body == nil {
-		return &onceBody{Reader: http.NoBody}
+		return &nonReplayableBody{Reader: http.NoBody}
 	}
-	return &onceBody{Reader: body}
+	return &nonReplayableBody{Reader: body}
 }
 
-type onceBody struct{ io.Reader }
+type nonReplayableBody struct{ io.Reader }
 
 // Close closes the wrapped body if it can be closed.
-func (b *onceBody) Close() error {
+func (b *nonReplayableBody) Close() error {
 	if c, ok := b.Reader.(io.Closer); ok {
 		return c.Close()
 	}
--- a/pkcontract/engine.go
+++ b/pkcontract/engine.go
@@ -20,7 +20,7 @@
 	Target pkid.TargetID
 }
 
-// TestEngine runs the contract tests of pkengine.TestEngine; open returns a new engine.
+// TestEngine runs the contract tests of pkengine.Engine; open returns a new engine.
 func TestEngine(t *testing.T, open func(*testing.T) EngineUnderTest) {
 	t.Run("stream has every token once and its end", func(t *testing.T) { streamIsComplete(t, open(t)) })
 	t.Run("stream resumes at an index", func(t *testing.T) { streamResumes(t, open(t)) })
--- a/pkcontract/store.go
+++ b/pkcontract/store.go
@@ -11,7 +11,7 @@
 	"peridotknot.example/pkstore"
 )
 
-// TestStore runs the contract tests of pkstore.TestStore; open returns an empty store.
+// TestStore runs the contract tests of pkstore.Store; open returns an empty store.
 func TestStore(t *testing.T, open func(*testing.T) pkstore.Store) {
 	t.Run("missing key has no revision", func(t *testing.T) {
 		missing, err := open(t).Load(t.Context(), "k")
--- a/pkengine/client.go
+++ b/pkengine/client.go
@@ -111,7 +111,7 @@
 	return l, err
 }
 
-// Order sends the engine the state it should reach; the error is ErrFenced if a later owner has
+// Order sends the engine its desired state; the error is ErrFenced if a later owner has
 // sent an order.
 func (c *Client) Order(ctx context.Context, addr string, o Order) error {
 	return c.call(ctx, http.MethodPost, "http://"+addr+PathOrders, o, nil)
--- a/pkengine/client_test.go
+++ b/pkengine/client_test.go
@@ -78,7 +78,7 @@
 			w.Header().Set(HeaderNotStarted, "true")
 			w.WriteHeader(http.StatusConflict)
 		}, pkverdict.NotRun},
-		"fails without saying whether it started": {func(w http.ResponseWriter, _ *http.Request) {
+		"fails without the not-started header": {func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusInternalServerError)
 		}, pkverdict.MayHaveRun},
 		"ends without an end event":      {func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, `{"i":0,"t":"a"}`) }, pkverdict.MayHaveRun},
--- a/pkengine/engine.go
+++ b/pkengine/engine.go
@@ -7,8 +7,8 @@
 	"peridotknot.example/pkid"
 )
 
-// HeartbeatInterval is the longest interval between two events of an open stream; without a token, the
-// engine sends a heartbeat.
+// HeartbeatInterval is the longest interval between two events of an open stream; without a token,
+// the engine sends a heartbeat.
 const HeartbeatInterval = 150 * time.Millisecond
 
 // Hop is one stage of a route.
@@ -91,7 +91,7 @@
 	End      pkid.Layer        `json:"end"`
 }
 
-// SatisfiedBy returns whether an engine that reports l has reached the state in o.
+// SatisfiedBy reports whether an engine that reports l has reached the state in o.
 func (o Order) SatisfiedBy(l Load) bool {
 	return l.Model == o.Model && l.Version == o.Version && l.Role == o.Role &&
 		l.First == o.First && l.End == o.End && sameAdapters(l.Adapters, o.Adapters)
@@ -129,7 +129,7 @@
 	Cancel(ctx context.Context, addr string, stream pkid.RequestID, attempt pkid.Attempt) error
 	// Load returns the engine's report on its state and load.
 	Load(ctx context.Context, addr string) (Load, error)
-	// Order sends the engine the state it should reach; the error is ErrFenced if a later owner has
+	// Order sends the engine its desired state; the error is ErrFenced if a later owner has
 	// sent an order.
 	Order(ctx context.Context, addr string, o Order) error
 }
--- a/pkengine/parse.go
+++ b/pkengine/parse.go
@@ -29,15 +29,15 @@
 }
 
 var (
-	tokenHead = []byte(`{"i":`)
-	tokenText = []byte(`,"t":"`)
-	tokenTail = []byte(`"}`)
+	tokenPrefix = []byte(`{"i":`)
+	textPrefix  = []byte(`,"t":"`)
+	tokenSuffix = []byte(`"}`)
 )
 
 // parseToken is the fast path for the most frequent line, a token with its fields in the order of
 // Event and without escapes. It returns false for all other lines, which encoding/json decodes.
 func parseToken(line []byte) (Event, bool) {
-	rest, found := bytes.CutPrefix(line, tokenHead)
+	rest, found := bytes.CutPrefix(line, tokenPrefix)
 	if !found {
 		return Event{}, false
 	}
@@ -45,11 +45,11 @@
 	if n == 0 {
 		return Event{}, false
 	}
-	rest, found = bytes.CutPrefix(rest[n:], tokenText)
+	rest, found = bytes.CutPrefix(rest[n:], textPrefix)
 	if !found {
 		return Event{}, false
 	}
-	text, found := bytes.CutSuffix(bytes.TrimRight(rest, "\r\n"), tokenTail)
+	text, found := bytes.CutSuffix(bytes.TrimRight(rest, "\r\n"), tokenSuffix)
 	if !found || !isLiteral(text) {
 		return Event{}, false
 	}
@@ -73,7 +73,7 @@
 	return pkid.TokenIndex(value), n
 }
 
-// isLiteral returns whether the content of a JSON string needs no decoding: it has no escapes and
+// isLiteral reports whether the content of a JSON string needs no decoding: it has no escapes and
 // is valid UTF-8.
 func isLiteral(text []byte) bool {
 	ascii := true
--- a/pkengine/reader.go
+++ b/pkengine/reader.go
@@ -37,7 +37,7 @@
 }
 
 // Next returns the next event. It fails if none arrives within the idle timeout: a connection whose
-// remote end is lost stays open, and only the engine's heartbeats tell it from a slow answer.
+// remote end is lost stays open, and only the engine's heartbeats distinguish it from a slow answer.
 func (r *reader) Next() (Event, error) {
 	r.idleTimer.Reset(r.idleTimeout)
 	line, err := r.lines.ReadSlice('\n')
--- a/pkhead/publish.go
+++ b/pkhead/publish.go
@@ -48,7 +48,7 @@
 }
 
 // Publish stores the body of d and updates the head to it. If the result is
-// Unknown, the error says why it could not be determined.
+// Unknown, the error states why it could not be determined.
 func Publish(ctx context.Context, s pkstore.Store, d Draft) (Outcome, error) {
 	chunks, err := putChunks(ctx, s, d.Body)
 	if err != nil {
--- a/pkhead/publish_test.go
+++ b/pkhead/publish_test.go
@@ -95,7 +95,7 @@
 
 // The store is down while the outcome is determined. The result must be Unknown, and
 // it must be possible to determine it once the store is back.
-func TestSettleAfterUnknown(t *testing.T) {
+func TestResolveAfterUnknown(t *testing.T) {
 	s := pkcontract.NewMemory()
 	publish(t, s, draft("base", "0"))
 	down := false
@@ -163,7 +163,7 @@
 	assert.Equal(t, publish(t, s, d).Result, Accepted)
 }
 
-func TestConsiderRejectsOlderRevision(t *testing.T) {
+func TestCompareRejectsOlderRevision(t *testing.T) {
 	assert.Equal(t, Compare(0, "", 1, "a"), Adopt)
 	assert.Equal(t, Compare(2, "a", 3, "b"), Adopt)
 	assert.Equal(t, Compare(2, "a", 2, "a"), Same)
--- a/pkmanifest/manifest.go
+++ b/pkmanifest/manifest.go
@@ -19,7 +19,7 @@
 	Accounts []Account `yaml:"accounts" json:"accounts"`
 }
 
-// Limits bounds what a single request may ask for.
+// Limits bounds the deadline and the size of a single request.
 type Limits struct {
 	DefaultDeadline time.Duration `yaml:"default_deadline" json:"default_deadline"`
 	MaxDeadline     time.Duration `yaml:"max_deadline" json:"max_deadline"`
@@ -37,7 +37,7 @@
 	Layers   pkid.Layer       `yaml:"layers" json:"layers"`
 	Adapters []pkid.AdapterID `yaml:"adapters" json:"adapters,omitempty"`
 	Splits   []Split          `yaml:"splits" json:"splits"`
-	// EnforcesFencing says that the pool's engines reject orders with an outdated
+	// EnforcesFencing is set if the pool's engines reject orders with an outdated
 	// fencing token.
 	EnforcesFencing bool `yaml:"enforces_fencing" json:"enforces_fencing"`
 	// MaxConcurrentLoads is how many engines of the pool may load weights concurrently,
--- a/pkmanifest/manifest_test.go
+++ b/pkmanifest/manifest_test.go
@@ -66,7 +66,7 @@
 	assert.Assert(t, !strings.Contains(stored.Hash+stored.Salt, strings.Split(key, "_")[2]))
 }
 
-func TestRepeatable(t *testing.T) {
+func TestRetryable(t *testing.T) {
 	s := Service{Idempotent: []Route{{Method: "GET", Prefix: "/records"}}}
 	assert.Assert(t, s.Retryable("GET", "/records/7"))
 	assert.Assert(t, s.Retryable("GET", "/records"))
--- a/pkplatform/client.go
+++ b/pkplatform/client.go
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// VMs returns the platform's list, or ErrSame. The list is polled often and changes
+// VMs returns the platform's list, or ErrUnchanged. The list is polled often and changes
 // rarely, so the request is conditional on the ETag of the last list.
 func (c *Client) VMs(ctx context.Context) ([]pktarget.ListedTarget, error) {
 	var out List
@@ -83,7 +83,7 @@
 	return out, err
 }
 
-// read decodes a JSON response into out and returns its ETag, or ErrSame if the ETag
+// read decodes a JSON response into out and returns its ETag, or ErrUnchanged if the ETag
 // is still etag.
 func (c *Client) read(ctx context.Context, url, etag string, out any) (string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
--- a/pkstore/store.go
+++ b/pkstore/store.go
@@ -45,7 +45,7 @@
 
 // SwapResult is the result of a Swap.
 type SwapResult struct {
-	// Succeeded says that the write took effect.
+	// Succeeded is set if the write took effect.
 	Succeeded bool
 	// Item is the current item of the key.
 	Item Item
