--- a/pkexplain/explanation.go
+++ b/pkexplain/explanation.go
@@ -51,16 +51,16 @@
 // ErrUnknown if no line names it.
 func Read(log io.Reader, id string) (Explanation, error) {
 	all, unreadable, err := readLines(log)
-	s := Explanation{Unreadable: unreadable}
+	out := Explanation{Unreadable: unreadable}
 	if err != nil {
-		return s, err
+		return out, err
 	}
 	requestLines := slices.DeleteFunc(slices.Clone(all), func(l Line) bool { return l.value("request_id") != id })
 	if len(requestLines) == 0 {
-		return s, ErrUnknown
+		return out, ErrUnknown
 	}
-	s.Lines = selectLines(all, requestLines, id)
-	return s, nil
+	out.Lines = selectLines(all, requestLines, id)
+	return out, nil
 }
 
 // readLines returns the lines of a log sorted by time, and the number of lines that could not be
@@ -167,8 +167,8 @@
 // Reasons for selecting a line.
 const (
 	reasonRequest = "request"
-	// reasonSame marks lines on requests of the same digest under other ids, however old.
-	reasonSame          = "same"
+	// reasonSameDigest marks lines on requests of the same digest under other ids, however old.
+	reasonSameDigest    = "same"
 	reasonConfiguration = "configuration"
 	reasonTarget        = "target"
 	reasonState         = "state"
@@ -203,7 +203,7 @@
 	case l.value("request_id") == c.id:
 		return reasonRequest
 	case c.digests[l.value("digest")]:
-		return reasonSame
+		return reasonSameDigest
 	case l.Message == "configuration in force":
 		return reasonConfiguration
 	case recent && c.targets[l.value("target")]:
--- a/pkexplain/explanation_test.go
+++ b/pkexplain/explanation_test.go
@@ -23,11 +23,11 @@
 `
 
 func TestReadSelectsRelatedLines(t *testing.T) {
-	s, err := Read(strings.NewReader(brokenStreamLog), "ed8f")
+	e, err := Read(strings.NewReader(brokenStreamLog), "ed8f")
 	assert.NilError(t, err)
-	assert.Equal(t, s.Unreadable, 1)
+	assert.Equal(t, e.Unreadable, 1)
 	var got []string
-	for _, l := range s.Lines {
+	for _, l := range e.Lines {
 		got = append(got, l.Why+": "+l.Message)
 	}
 	assert.DeepEqual(t, got, []string{
@@ -39,8 +39,8 @@
 		"request: a send failed",
 		"request: request",
 	})
-	assert.Equal(t, s.Lines[0].value("version"), "1", "the version in force when the request arrived")
-	assert.Equal(t, s.Lines[3].value("gone"), "true")
+	assert.Equal(t, e.Lines[0].value("version"), "1", "the version in force when the request arrived")
+	assert.Equal(t, e.Lines[3].value("gone"), "true")
 }
 
 // A request is refused because it crashed three targets under other ids.
@@ -53,10 +53,10 @@
 `
 
 func TestReadSelectsEarlierLinesOfTheSameDigest(t *testing.T) {
-	s, err := Read(strings.NewReader(quarantinedLog), "ed8f")
+	e, err := Read(strings.NewReader(quarantinedLog), "ed8f")
 	assert.NilError(t, err)
 	var got []string
-	for _, l := range s.Lines {
+	for _, l := range e.Lines {
 		got = append(got, l.Why+": "+l.Message)
 	}
 	assert.DeepEqual(t, got, []string{"same: a target ended under a request", "same: a request is quarantined", "request: request"})
--- a/pkexplain/summary.go
+++ b/pkexplain/summary.go
@@ -17,19 +17,20 @@
 // Causes of late streams, of which the first that applies counts. For a stream that was not
 // answered, the cause is its outcome.
 const (
-	// The stream was not late.
+	// InTime means that the stream was not late.
 	InTime Cause = "in time"
-	// The stream was moved off a dead engine.
+	// DeadEngine means that the stream was moved off a dead engine.
 	DeadEngine Cause = "dead engine"
-	// The stream was moved off a leaving engine.
+	// LeavingEngine means that the stream was moved off a leaving engine.
 	LeavingEngine Cause = "leaving engine"
-	// The stream was retried for another reason.
+	// Resent means that the stream was retried for another reason.
 	Resent Cause = "sent again"
-	// The first event was late.
+	// LateFirstEvent means that the first event was late.
 	LateFirstEvent Cause = "first event"
-	// The stream paused on a path that crosses data centres, without a known failure of an engine.
+	// PauseAcrossDataCenters means that the stream paused on a path that crosses data centres,
+	// without a known failure of an engine.
 	PauseAcrossDataCenters Cause = "pause, path crosses data centres"
-	// The stream paused on a path within one data centre.
+	// PauseInDataCenter means that the stream paused on a path within one data centre.
 	PauseInDataCenter Cause = "pause, path in one data centre"
 )
 
@@ -49,7 +50,7 @@
 	Crossings float64
 }
 
-// EngineShare is how much an engine is used.
+// EngineShare is the share of the streams that an engine serves.
 type EngineShare struct {
 	Engine string
 	// Where is the engine's data centre and kind.
@@ -81,13 +82,13 @@
 
 // Summarize reads the concatenated logs of entries and summarizes their streams, in total and per
 // interval of the given length.
-func Summarize(log io.Reader, aims Thresholds, span time.Duration) (Summary, error) {
+func Summarize(log io.Reader, limits Thresholds, span time.Duration) (Summary, error) {
 	all, unreadable, err := readLines(log)
 	if err != nil {
 		return Summary{}, err
 	}
 	out := Summary{Unreadable: unreadable, Causes: map[Cause]int{}}
-	streams := parseStreams(all, aims)
+	streams := parseStreams(all, limits)
 	spans := map[time.Time]*Span{}
 	engines := map[stage]int{}
 	for _, s := range streams {
@@ -101,16 +102,16 @@
 		current.Streams++
 		current.Causes[s.cause]++
 		current.Crossings += float64(s.crossings())
-		for _, p := range s.stages {
-			engines[p]++
+		for _, st := range s.stages {
+			engines[st]++
 		}
 	}
 	for _, at := range slices.SortedFunc(maps.Keys(spans), time.Time.Compare) {
 		spans[at].Crossings /= float64(spans[at].Streams)
 		out.Spans = append(out.Spans, *spans[at])
 	}
-	for p, n := range engines {
-		out.Engines = append(out.Engines, EngineShare{Engine: p.engine, Where: p.dataCenter + " " + p.kind, Of: float64(n) / float64(out.Streams)})
+	for st, n := range engines {
+		out.Engines = append(out.Engines, EngineShare{Engine: st.engine, Where: st.dataCenter + " " + st.kind, Of: float64(n) / float64(out.Streams)})
 	}
 	slices.SortFunc(out.Engines, func(a, b EngineShare) int {
 		return cmp.Or(cmp.Compare(b.Of, a.Of), cmp.Compare(a.Engine, b.Engine))
@@ -119,7 +120,7 @@
 }
 
 // parseStreams returns the streams that were sent to an engine or rejected.
-func parseStreams(all []Line, aims Thresholds) []stream {
+func parseStreams(all []Line, limits Thresholds) []stream {
 	rerouteCauses := map[string]Cause{}
 	for _, l := range all {
 		if l.Message == "a stream goes on by another attempt" || (l.Message == "a stream changes its path" && l.value("outcome") == "done") {
@@ -132,19 +133,19 @@
 			continue
 		}
 		s := stream{start: startTime([]Line{l}), stages: parsePath(l.value("path"))}
-		s.cause = s.classify(l, rerouteCauses[l.value("request_id")], aims)
+		s.cause = s.classify(l, rerouteCauses[l.value("request_id")], limits)
 		out = append(out, s)
 	}
 	return out
 }
 
-func (s stream) classify(l Line, rerouteCause Cause, aims Thresholds) Cause {
+func (s stream) classify(l Line, rerouteCause Cause, limits Thresholds) Cause {
 	if outcome := l.value("outcome"); outcome != "answered" {
 		return Cause(outcome)
 	}
-	lateFirst := l.millis("first_ms") > aims.FirstEvent
+	lateFirst := l.millis("first_ms") > limits.FirstEvent
 	switch {
-	case !lateFirst && l.millis("pause_ms") <= aims.Pause:
+	case !lateFirst && l.millis("pause_ms") <= limits.Pause:
 		return InTime
 	case rerouteCause != "":
 		return rerouteCause
--- a/pkopenai/answer.go
+++ b/pkopenai/answer.go
@@ -28,16 +28,16 @@
 	Endpoint Endpoint
 }
 
-func (h ResponseInfo) idPrefix() string {
-	if h.Endpoint == Chat {
+func (i ResponseInfo) idPrefix() string {
+	if i.Endpoint == Chat {
 		return "chatcmpl-"
 	}
 	return "cmpl-"
 }
 
-func (h ResponseInfo) object(chunk bool) string {
+func (i ResponseInfo) object(chunk bool) string {
 	switch {
-	case h.Endpoint == Completion:
+	case i.Endpoint == Completion:
 		return "text_completion"
 	case chunk:
 		return "chat.completion.chunk"
@@ -68,19 +68,19 @@
 }
 
 // WriteCompletion writes the complete response as one JSON body.
-func WriteCompletion(w http.ResponseWriter, h ResponseInfo, content, finish string, u Usage) error {
-	c := choice{FinishReason: finish}
-	if h.Endpoint == Chat {
+func WriteCompletion(w http.ResponseWriter, i ResponseInfo, content, finishReason string, u Usage) error {
+	c := choice{FinishReason: finishReason}
+	if i.Endpoint == Chat {
 		c.Message = &chatMessage{Role: "assistant", Content: content}
 	} else {
 		c.Text = &content
 	}
 	w.Header().Set("Content-Type", "application/json")
 	return json.NewEncoder(w).Encode(completion{
-		ID:      h.idPrefix() + string(h.ID),
-		Object:  h.object(false),
-		Created: h.Created.Unix(),
-		Model:   string(h.Model),
+		ID:      i.idPrefix() + string(i.ID),
+		Object:  i.object(false),
+		Created: i.Created.Unix(),
+		Model:   string(i.Model),
 		Choices: []choice{c},
 		Usage:   &u,
 	})
--- a/pkopenai/openai_test.go
+++ b/pkopenai/openai_test.go
@@ -49,7 +49,7 @@
 }
 
 // Guards against client retries of a request that may have been executed.
-func TestFailureTellsClientsWhetherToRetry(t *testing.T) {
+func TestFailureSetsShouldRetry(t *testing.T) {
 	for verdict, want := range map[pkverdict.Verdict]string{pkverdict.NotRun: "true", pkverdict.MayHaveRun: "false"} {
 		w := httptest.NewRecorder()
 		f := Failure{Status: 503, Code: "x", Verdict: verdict, RequestID: pkid.RequestID("r"), RetryAfter: 1500 * time.Millisecond}
--- a/pkopenai/stream.go
+++ b/pkopenai/stream.go
@@ -12,7 +12,7 @@
 const (
 	// writeTimeout bounds how long a client may take to accept written data.
 	writeTimeout = 10 * time.Second
-	// deadlineInterval is the least time between two extensions of the write deadline.
+	// deadlineInterval is the minimum time between two extensions of the write deadline.
 	deadlineInterval = time.Second
 )
 
@@ -20,7 +20,7 @@
 type Stream struct {
 	w            http.ResponseWriter
 	control      *http.ResponseController
-	head         ResponseInfo
+	info         ResponseInfo
 	includeUsage bool
 	// tokenPrefix and tokenSuffix enclose the text of a token in its event.
 	tokenPrefix []byte
@@ -33,10 +33,10 @@
 
 // NewStream returns a stream. Nothing is written before its first event; includeUsage adds an event
 // with the token usage at the end.
-func NewStream(w http.ResponseWriter, h ResponseInfo, includeUsage bool) *Stream {
-	s := &Stream{w: w, control: http.NewResponseController(w), head: h, includeUsage: includeUsage}
+func NewStream(w http.ResponseWriter, i ResponseInfo, includeUsage bool) *Stream {
+	s := &Stream{w: w, control: http.NewResponseController(w), info: i, includeUsage: includeUsage}
 	s.tokenPrefix = s.eventPrefix()
-	if h.Endpoint == Chat {
+	if i.Endpoint == Chat {
 		s.tokenPrefix = append(s.tokenPrefix, `"choices":[{"index":0,"delta":{"content":`...)
 		s.tokenSuffix = []byte(`},"finish_reason":null}]}` + "\n\n")
 	} else {
@@ -49,13 +49,13 @@
 // eventPrefix returns the opening of an event, up to its choices.
 func (s *Stream) eventPrefix() []byte {
 	b := append([]byte(nil), `data: {"id":`...)
-	b = strconv.AppendQuote(b, s.head.idPrefix()+string(s.head.ID))
+	b = strconv.AppendQuote(b, s.info.idPrefix()+string(s.info.ID))
 	b = append(b, `,"object":"`...)
-	b = append(b, s.head.object(true)...)
+	b = append(b, s.info.object(true)...)
 	b = append(b, `","created":`...)
-	b = strconv.AppendInt(b, s.head.Created.Unix(), 10)
+	b = strconv.AppendInt(b, s.info.Created.Unix(), 10)
 	b = append(b, `,"model":`...)
-	b = appendText(b, string(s.head.Model))
+	b = appendText(b, string(s.info.Model))
 	return append(b, ',')
 }
 
@@ -80,7 +80,7 @@
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-cache")
 	s.w.WriteHeader(http.StatusOK)
-	if s.head.Endpoint != Chat {
+	if s.info.Endpoint != Chat {
 		return
 	}
 	s.buf = append(s.buf, s.eventPrefix()...)
@@ -88,18 +88,18 @@
 }
 
 // Finish writes the closing events of a complete response.
-func (s *Stream) Finish(finish string, u Usage) error {
+func (s *Stream) Finish(reason string, u Usage) error {
 	s.buf = s.buf[:0]
 	if !s.started {
 		s.start()
 	}
 	s.buf = append(s.buf, s.eventPrefix()...)
-	if s.head.Endpoint == Chat {
+	if s.info.Endpoint == Chat {
 		s.buf = append(s.buf, `"choices":[{"index":0,"delta":{},"finish_reason":`...)
 	} else {
 		s.buf = append(s.buf, `"choices":[{"index":0,"text":"","finish_reason":`...)
 	}
-	s.buf = appendText(s.buf, finish)
+	s.buf = appendText(s.buf, reason)
 	s.buf = append(s.buf, "}]}\n\n"...)
 	if s.includeUsage {
 		raw, err := json.Marshal(u)
--- a/pktrace/expect.go
+++ b/pktrace/expect.go
@@ -9,14 +9,14 @@
 // Expect is the stated outcome of a trace. Every replay is checked as well for what no trace may
 // show: doubled or crossed answers, layers out of order, and executed calls reported as not run.
 type Expect struct {
-	// The shares are fractions of all requests of the trace.
+	// MaxLostShare, MaxLateShare and MaxRefusedShare are fractions of all requests of the trace.
 	MaxLostShare    float64 `yaml:"max_lost_share" json:"max_lost_share"`
 	MaxLateShare    float64 `yaml:"max_late_share" json:"max_late_share"`
 	MaxRefusedShare float64 `yaml:"max_refused_share" json:"max_refused_share"`
-	// The 95th percentiles are those of the whole trace.
+	// FirstTokenP95 and BetweenTokensP95 bound the 95th percentiles over the whole trace.
 	FirstTokenP95    time.Duration `yaml:"first_token_p95" json:"first_token_p95"`
 	BetweenTokensP95 time.Duration `yaml:"between_tokens_p95" json:"between_tokens_p95"`
-	// MinGoodputShare is the least goodput, as a fraction of its bound.
+	// MinGoodputShare is the minimum goodput, as a fraction of its bound.
 	MinGoodputShare float64 `yaml:"min_goodput_share" json:"min_goodput_share"`
 	// MaxRecovery bounds the recovery time of each fault.
 	MaxRecovery time.Duration `yaml:"max_recovery" json:"max_recovery"`
--- a/pktrace/ledger.go
+++ b/pktrace/ledger.go
@@ -4,7 +4,7 @@
 type Ledger struct {
 	// Runs counts the executions of each replayed call.
 	Runs map[string]int `json:"runs"`
-	// The violations of the layer order, of which some are described, and their number.
+	// Violations describes some of the violations of the layer order; ViolationCount counts all.
 	Violations     []string `json:"violations"`
 	ViolationCount int      `json:"broken"`
 	// StoreCalls counts the calls to the key-value store.
--- a/pktrace/replay.go
+++ b/pktrace/replay.go
@@ -39,7 +39,8 @@
 
 const (
 	readyInterval = 50 * time.Millisecond
-	// lateGrace is how long after its deadline a response is awaited, to tell late from lost.
+	// lateGrace is how long after its deadline a response is awaited, to distinguish late from
+	// lost.
 	lateGrace       = 2 * time.Second
 	microsPerHour   = 3_600_000_000
 	histogramDigits = 3
--- a/pktrace/report.go
+++ b/pktrace/report.go
@@ -15,9 +15,9 @@
 	Requests int           `json:"requests"`
 	// Counts holds the number of requests of each class.
 	Counts map[string]int `json:"counts"`
-	// The number of calls that ran although they were refused as not run.
+	// NotRunButRan counts the calls that ran although they were refused as not run.
 	NotRunButRan int `json:"told_not_run_but_ran"`
-	// The number of violations of the layer order.
+	// LayerOrderViolations counts the violations of the layer order.
 	LayerOrderViolations int         `json:"layer_order_broken"`
 	FirstToken           Percentiles `json:"first_token"`
 	BetweenTokens        Percentiles `json:"between_tokens"`
--- a/pktrace/report_test.go
+++ b/pktrace/report_test.go
@@ -23,7 +23,7 @@
 }
 
 // Guards against violations that a report misses, also those that the caller cannot see.
-func TestJudgeReportsViolations(t *testing.T) {
+func TestEvaluateReportsViolations(t *testing.T) {
 	cases := map[string]struct {
 		result Result
 		ledger Ledger
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestJudgeReportsMissedExpectations(t *testing.T) {
+func TestEvaluateReportsMissedExpectations(t *testing.T) {
 	model := Line{Kind: KindModel, Account: "a", Model: "m", Stream: true, PromptTokens: 1, OutputTokens: 10, DeadlineMS: 1}
 	o := outcomeOf(
 		Result{Line: model, Class: Whole, Tokens: 10, FirstToken: time.Second, Ended: 2 * time.Second},
