--- a/peridotknot-standin/main.go
+++ b/peridotknot-standin/main.go
@@ -16,14 +16,14 @@
 func main() { os.Exit(pkcli.RunDaemon("", pkstandin.ParseSettings, serve)) }
 
 func serve(s pkstandin.Settings, _ string) error {
-	w, err := pkstandin.Start(s)
+	env, err := pkstandin.Start(s)
 	if err != nil {
 		return err
 	}
-	hclog.Default().Info("stand-ins started", "store", w.StoreAddr(), "platform", w.PlatformAddr(), "admin", w.AdminAddr())
+	hclog.Default().Info("stand-ins started", "store", env.StoreAddr(), "platform", env.PlatformAddr(), "admin", env.AdminAddr())
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, os.Interrupt, syscall.SIGTERM)
 	<-stop
-	w.Close()
+	env.Close()
 	return nil
 }
--- a/peridotknot/explain.go
+++ b/peridotknot/explain.go
@@ -74,8 +74,8 @@
 	return s.WriteText(os.Stdout)
 }
 
-func writeExplanation(w io.Writer, s pkexplain.Explanation) error {
-	for _, l := range s.Lines {
+func writeExplanation(w io.Writer, e pkexplain.Explanation) error {
+	for _, l := range e.Lines {
 		var fields strings.Builder
 		for _, f := range l.Fields {
 			fmt.Fprintf(&fields, " %s=%q", f.Name, f.Value)
@@ -84,8 +84,8 @@
 			return err
 		}
 	}
-	if s.Unreadable > 0 {
-		_, err := fmt.Fprintf(w, "%d lines were not readable\n", s.Unreadable)
+	if e.Unreadable > 0 {
+		_, err := fmt.Fprintf(w, "%d lines were not readable\n", e.Unreadable)
 		return err
 	}
 	return nil
--- a/peridotknot/manifest.go
+++ b/peridotknot/manifest.go
@@ -93,7 +93,7 @@
 	} `positional-args:"yes"`
 }
 
-// Execute publishes the file, or settles an earlier publish, and prints the outcome.
+// Execute publishes the file, or resolves an earlier publication, and prints the outcome.
 func (c *manifestPublish) Execute([]string) error {
 	store, ctx, done := c.open()
 	defer done()
@@ -117,7 +117,8 @@
 	return "unknown"
 }
 
-// reportOutcome prints the outcome of a publish. It returns an error unless the publish was accepted.
+// reportOutcome prints the outcome of a publication. It returns an error unless the publication was
+// accepted.
 func reportOutcome(id pkhead.PublishID, out pkhead.Outcome, err error) error {
 	switch out.Result {
 	case pkhead.Accepted:
--- a/pklab/lab.go
+++ b/pklab/lab.go
@@ -75,13 +75,13 @@
 	if o.Stop == (pkentry.Stop{}) {
 		o.Stop = pkentry.Stop{Delay: 200 * time.Millisecond, Limit: 10 * time.Second}
 	}
-	world, err := pkstandin.Start(o.Standins)
+	env, err := pkstandin.Start(o.Standins)
 	if err != nil {
 		return nil, err
 	}
 	l := &Lab{
-		Standins: world,
-		Store:    pketcd.New(world.StoreAddr(), pkconn.DefaultOptions()),
+		Standins: env,
+		Store:    pketcd.New(env.StoreAddr(), pkconn.DefaultOptions()),
 		opts:     o,
 		tracer:   o.Tracer,
 		manifest: o.Manifest,
--- a/pklab/observe_test.go
+++ b/pklab/observe_test.go
@@ -29,16 +29,16 @@
 	buf bytes.Buffer
 }
 
-func (l *syncBuffer) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.buf.Write(p)
+func (b *syncBuffer) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.buf.Write(p)
 }
 
-func (l *syncBuffer) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.buf.String()
+func (b *syncBuffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.buf.String()
 }
 
 // instrumentedLab is a lab with captured logs, spans and request recording.
--- a/pklab/stop_test.go
+++ b/pklab/stop_test.go
@@ -16,7 +16,7 @@
 
 // A stream that is still running at the limit of a planned stop must end with an error event that
 // gives the code and the verdict, not with a broken connection.
-func TestStreamCutByStopLimitEndsWithError(t *testing.T) {
+func TestStreamAbortedByStopLimitEndsWithError(t *testing.T) {
 	standins := fastStandins(t)
 	for kind, speed := range standins.Kinds {
 		speed.Base = time.Millisecond // 32 layers, about 30 tokens per second
--- a/pkmeasure/control.go
+++ b/pkmeasure/control.go
@@ -136,8 +136,8 @@
 		if err := l.Republish(); err != nil {
 			return 0, err
 		}
-		want := pkid.Revision(i + 2)
-		if err := waitRevision(ctx, l, n, want); err != nil {
+		rev := pkid.Revision(i + 2)
+		if err := waitRevision(ctx, l, n, rev); err != nil {
 			return 0, err
 		}
 		took = append(took, float64(time.Since(began).Microseconds())/1000)
@@ -146,14 +146,14 @@
 	return took[publications*95/100-1], nil
 }
 
-func waitRevision(ctx context.Context, l *pklab.Lab, n int, want pkid.Revision) error {
+func waitRevision(ctx context.Context, l *pklab.Lab, n int, rev pkid.Revision) error {
 	const limit = 30 * time.Second
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	for i := range n {
-		for l.Entry(i).Revision() < want {
+		for l.Entry(i).Revision() < rev {
 			if ctx.Err() != nil {
-				return fmt.Errorf("revision %d is not in force on entry %d", want, i)
+				return fmt.Errorf("revision %d is not in force on entry %d", rev, i)
 			}
 			pktimer.Sleep(ctx, time.Millisecond)
 		}
--- a/pkmeasure/state.go
+++ b/pkmeasure/state.go
@@ -128,12 +128,12 @@
 func admissionCost(n int) float64 {
 	now := time.Now()
 	g := pkadmit.NewGate(pkadmit.DefaultOptions(), 1)
-	ask := func(i int) pkadmit.Request {
+	newRequest := func(i int) pkadmit.Request {
 		return pkadmit.Request{Account: pkid.AccountID(fmt.Sprint(i)), Weight: 1, MaxInFlight: 1000, Tokens: 10, Deadline: now.Add(time.Hour)}
 	}
 	var waiting []*pkadmit.Ticket
 	for i := range n + 1 {
-		if t, refusal := g.Enter(now, ask(i%n)); refusal == nil {
+		if t, refusal := g.Enter(now, newRequest(i%n)); refusal == nil {
 			waiting = append(waiting, t)
 		}
 	}
@@ -149,7 +149,7 @@
 			waiting = append(waiting[:at], waiting[at+1:]...)
 			break
 		}
-		if t, refusal := g.Enter(now, ask(i%n)); refusal == nil {
+		if t, refusal := g.Enter(now, newRequest(i%n)); refusal == nil {
 			waiting = append(waiting, t)
 		}
 		i++
--- a/pkmeasure/table.go
+++ b/pkmeasure/table.go
@@ -66,23 +66,23 @@
 // Table returns the capacity table in Markdown, computed from measured series. It fails if a required
 // series is missing.
 func Table(all []Series) (string, error) {
-	l := seriesByName{}
+	byName := seriesByName{}
 	for _, s := range all {
-		l[s.Name] = s
+		byName[s.Name] = s
 	}
 	for _, name := range []string{
 		"choose_by_replicas", "vm_list_by_replicas", "vm_list_bytes_by_replicas", "heap_by_replicas", "admission_by_accounts",
 		"manifest_by_accounts", "manifest_bytes_by_accounts", "manifest_packed_bytes_by_accounts", "entry_processor_time_by_tokens", "control_processor_share_by_nodes",
 		"control_sent_by_nodes", "heap_by_nodes", "in_force_by_nodes", "store_calls_by_nodes",
 	} {
-		if _, found := l[name]; !found {
+		if _, found := byName[name]; !found {
 			return "", fmt.Errorf("series %s is missing: run all measurements", name)
 		}
 	}
 	var b strings.Builder
 	b.WriteString("| what | mechanism | formula | figure | limit | margin | verdict |\n|---|---|---|---|---|---|---|\n")
-	rows := append(l.dataRows(), l.controlRows()...)
-	for _, r := range append(rows, l.stateRows()...) {
+	rows := append(byName.dataRows(), byName.controlRows()...)
+	for _, r := range append(rows, byName.stateRows()...) {
 		limit := "-"
 		if r.limit > 0 {
 			limit = fmt.Sprintf("%.4g %s", r.limit, r.unit)
@@ -108,8 +108,8 @@
 	return strings.Join(out, ", ")
 }
 
-func (l seriesByName) dataRows() []row {
-	dataPath := l["entry_processor_time_by_tokens"]
+func (s seriesByName) dataRows() []row {
+	dataPath := s["entry_processor_time_by_tokens"]
 	tokens := targetTokens / targetNodes
 	requests := targetRequests / targetNodes
 	return []row{
@@ -129,15 +129,15 @@
 	}
 }
 
-func (l seriesByName) controlRows() []row {
+func (s seriesByName) controlRows() []row {
 	neighbors := nodesPerCenter
-	processor := l["control_processor_share_by_nodes"].at(neighbors)
-	list := l["vm_list_by_replicas"].at(targetReplicas) / 1e6 * replacementsPerDay / secondsPerDay
-	adopt := l["manifest_by_accounts"].at(targetAccounts) / 1e6 * changesPerDay / secondsPerDay
-	manifest := l["manifest_bytes_by_accounts"].at(targetAccounts)
-	packed := l["manifest_packed_bytes_by_accounts"].at(targetAccounts)
-	listBytes := l["vm_list_bytes_by_replicas"].at(targetReplicas)
-	sent := min(l["control_sent_by_nodes"].Slope*linksPerNode, sendBudget)
+	processor := s["control_processor_share_by_nodes"].at(neighbors)
+	list := s["vm_list_by_replicas"].at(targetReplicas) / 1e6 * replacementsPerDay / secondsPerDay
+	adopt := s["manifest_by_accounts"].at(targetAccounts) / 1e6 * changesPerDay / secondsPerDay
+	manifest := s["manifest_bytes_by_accounts"].at(targetAccounts)
+	packed := s["manifest_packed_bytes_by_accounts"].at(targetAccounts)
+	listBytes := s["vm_list_bytes_by_replicas"].at(targetReplicas)
+	sent := min(s["control_sent_by_nodes"].Slope*linksPerNode, sendBudget)
 	calls := storeCalls()
 	return []row{
 		{
@@ -152,11 +152,11 @@
 		},
 		{
 			"256 MB for control", "targets, plans, members, manifest", "heap_by_nodes at 22 + heap_by_replicas at 4,500 + 3 manifests",
-			l["heap_by_nodes"].at(neighbors) + l["heap_by_replicas"].at(targetReplicas) + 3*manifest, limitMemory, "B", "",
+			s["heap_by_nodes"].at(neighbors) + s["heap_by_replicas"].at(targetReplicas) + 3*manifest, limitMemory, "B", "",
 		},
 		{
 			"9,400 changes a day in force in 18 s", "head watched by 2 nodes a data centre; shares pushed at once to 53 links", "in_force_by_nodes at 380, as if all were neighbors",
-			l["in_force_by_nodes"].at(targetNodes) / 1000, limitInForce, "s", "",
+			s["in_force_by_nodes"].at(targetNodes) / 1000, limitInForce, "s", "",
 		},
 		{
 			"calls on the key-value service", "2 watches a data centre, rereads, one lease a node", "34 watches + 34 x 2/10 s + 346/30 s + 380/10 s + 9,400/day x 34 x 2",
@@ -191,15 +191,15 @@
 	return watchers + rereads + targetNodes/leaseRenewSeconds + bodyReads
 }
 
-func (l seriesByName) stateRows() []row {
+func (s seriesByName) stateRows() []row {
 	return []row{
 		{
 			"4,500 replicas, 18,000 accelerators: a choice", "draws by rate, cheapest path through those drawn; accelerators count inside their replica",
-			"choose_by_replicas at 4,500", l["choose_by_replicas"].at(targetReplicas), 20, "us", "",
+			"choose_by_replicas at 4,500", s["choose_by_replicas"].at(targetReplicas), 20, "us", "",
 		},
-		{"440 accounts that all wait: an admission", "virtual time an account", "admission_by_accounts at 440", l["admission_by_accounts"].at(targetAccounts), 100, "us", ""},
-		{"27 models", "one plan a model and adapter, made again when targets change", "plan_by_replicas slope x 4,500", l["plan_by_replicas"].Slope * targetReplicas, 0, "us", "604 a day: nothing"},
-		{"5 kinds of accelerators, links 100x apart", "kinds by their reported step times, links by the settings' matrix", "part of a choice", l["choose_by_replicas"].at(targetReplicas), 20, "us", ""},
+		{"440 accounts that all wait: an admission", "virtual time an account", "admission_by_accounts at 440", s["admission_by_accounts"].at(targetAccounts), 100, "us", ""},
+		{"27 models", "one plan a model and adapter, made again when targets change", "plan_by_replicas slope x 4,500", s["plan_by_replicas"].Slope * targetReplicas, 0, "us", "604 a day: nothing"},
+		{"5 kinds of accelerators, links 100x apart", "kinds by their reported step times, links by the settings' matrix", "part of a choice", s["choose_by_replicas"].at(targetReplicas), 20, "us", ""},
 		{"7 regions, 17 data centres: links of a node", "21 neighbors + 2 x 16", "connections a node dials", linksPerNode, 0, "links", "bounded by 54 whatever the fleet's size"},
 	}
 }
--- a/pksample/make.go
+++ b/pksample/make.go
@@ -13,25 +13,25 @@
 
 // Profile describes a user's workload.
 type Profile struct {
-	// The length of the trace.
+	// Duration is the length of the trace.
 	Duration time.Duration
 	Accounts []pkid.AccountID
 	// Shares are the relative weights of the accounts in the requests.
 	Shares []float64
-	// The rates of model requests and of service calls per second, and the factor by which both are
-	// multiplied during the burst.
+	// ModelRate and CallRate are the rates of model requests and of service calls per second;
+	// BurstFactor multiplies both during the burst.
 	ModelRate     float64
 	CallRate      float64
 	BurstFactor   float64
 	BurstStart    time.Duration
 	BurstDuration time.Duration
 	Model         pkid.ModelID
-	// The median numbers of tokens of a model request.
+	// MedianPromptTokens and MedianOutputTokens are those of a model request.
 	MedianPromptTokens int
 	MedianOutputTokens int
 	ModelDeadline      time.Duration
 	Service            pkid.ServiceID
-	// The fraction of service calls that are idempotent.
+	// IdempotentShare is the fraction of service calls that are idempotent.
 	IdempotentShare float64
 	CallDeadline    time.Duration
 	Faults          []pktrace.Line
@@ -96,7 +96,7 @@
 	return lines, nil
 }
 
-// lookupShare is the fraction of the calls which are not idempotent that are GET requests.
+// lookupShare is the fraction of GET requests among the calls that are not idempotent.
 const lookupShare = 0.3
 
 // generator draws the lines of a trace from a profile.
--- a/pkstandin/contract_test.go
+++ b/pkstandin/contract_test.go
@@ -39,7 +39,7 @@
 }
 
 // The VM list is polled. The body must be sent when the list has changed or the client has dropped
-// its tag, and must not be sent otherwise.
+// its ETag, and must not be sent otherwise.
 func TestVMListConditionalRead(t *testing.T) {
 	env := startEnvironment(t)
 	c := pkplatform.New(env.PlatformAddr(), pkconn.DefaultOptions())
--- a/pkstandin/engine.go
+++ b/pkstandin/engine.go
@@ -33,15 +33,15 @@
 	env   *Environment
 	srv   *server
 
-	mu        sync.Mutex
-	current   pkengine.Order
-	pending   pkengine.Order
-	fence     pkid.FencingToken
-	enforces  bool
-	boot      int
-	nextIndex map[attemptKey]pkid.TokenIndex
-	cancels   map[attemptKey]chan struct{}
-	loading   bool
+	mu              sync.Mutex
+	current         pkengine.Order
+	pending         pkengine.Order
+	fencingToken    pkid.FencingToken
+	enforcesFencing bool
+	boot            int
+	nextIndex       map[attemptKey]pkid.TokenIndex
+	cancels         map[attemptKey]chan struct{}
+	loading         bool
 
 	active     atomic.Int64
 	dead       atomic.Bool
@@ -98,7 +98,7 @@
 		PrefillUS: (n * e.speed.Prefill).Microseconds(),
 		Leaving:   e.leaving.Load(),
 		Loading:   e.loading,
-		Fence:     e.fence,
+		Fence:     e.fencingToken,
 		Boot:      strconv.Itoa(e.boot),
 	}
 }
@@ -211,12 +211,12 @@
 		return
 	}
 	e.mu.Lock()
-	if e.enforces && o.Fence < e.fence {
+	if e.enforcesFencing && o.Fence < e.fencingToken {
 		e.mu.Unlock()
 		http.Error(w, "an order with a higher fencing number came before", http.StatusConflict)
 		return
 	}
-	e.fence = max(e.fence, o.Fence)
+	e.fencingToken = max(e.fencingToken, o.Fence)
 	e.env.recordOrder(e.info.ID, o)
 	if e.loading {
 		e.pending = o
--- a/pkstandin/environment.go
+++ b/pkstandin/environment.go
@@ -83,13 +83,13 @@
 		for i := range g.Count {
 			id := pkid.TargetID(fmt.Sprintf("%s-%d-%s-%d", g.Pool, g.First, g.Kind, i))
 			e := &Engine{
-				info:      pktarget.Info{ID: id, Pool: g.Pool, Kind: g.Kind, DataCenter: g.DataCenters[i%len(g.DataCenters)]},
-				speed:     speed,
-				env:       env,
-				enforces:  g.EnforcesFencing,
-				current:   pkengine.Order{Model: g.Model, Version: g.Version, Adapters: g.Adapters, First: g.First, End: g.End},
-				nextIndex: map[attemptKey]pkid.TokenIndex{},
-				cancels:   map[attemptKey]chan struct{}{},
+				info:            pktarget.Info{ID: id, Pool: g.Pool, Kind: g.Kind, DataCenter: g.DataCenters[i%len(g.DataCenters)]},
+				speed:           speed,
+				env:             env,
+				enforcesFencing: g.EnforcesFencing,
+				current:         pkengine.Order{Model: g.Model, Version: g.Version, Adapters: g.Adapters, First: g.First, End: g.End},
+				nextIndex:       map[attemptKey]pkid.TokenIndex{},
+				cancels:         map[attemptKey]chan struct{}{},
 			}
 			srv, err := newServer(anyPort, e)
 			if err != nil {
--- a/pkstandin/kv.go
+++ b/pkstandin/kv.go
@@ -22,8 +22,8 @@
 	nextID   int64
 	// changed is closed and replaced on each change.
 	changed chan struct{}
-	// watchCut is closed and replaced to abort all watches.
-	watchCut chan struct{}
+	// watchAbort is closed and replaced to abort all watches.
+	watchAbort chan struct{}
 
 	calls         atomic.Int64
 	writes        atomic.Int64
@@ -40,11 +40,11 @@
 // NewKV returns an empty key-value service.
 func NewKV() *KV {
 	return &KV{
-		revision: 1,
-		keys:     map[string]pketcd.KeyValue{},
-		leases:   map[int64]*kvLease{},
-		changed:  make(chan struct{}),
-		watchCut: make(chan struct{}),
+		revision:   1,
+		keys:       map[string]pketcd.KeyValue{},
+		leases:     map[int64]*kvLease{},
+		changed:    make(chan struct{}),
+		watchAbort: make(chan struct{}),
 	}
 }
 
@@ -57,8 +57,8 @@
 	if down {
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		close(k.watchCut)
-		k.watchCut = make(chan struct{})
+		close(k.watchAbort)
+		k.watchAbort = make(chan struct{})
 	}
 }
 
@@ -281,14 +281,14 @@
 			}
 		}
 		next = max(next, k.revision+1)
-		changed, watchCut := k.changed, k.watchCut
+		changed, watchAbort := k.changed, k.watchAbort
 		k.mu.Unlock()
 		if len(events) > 0 && !send(pketcd.WatchResult{Events: events}) {
 			return
 		}
 		select {
 		case <-changed:
-		case <-watchCut:
+		case <-watchAbort:
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done():
 			return
--- a/pkstandin/server.go
+++ b/pkstandin/server.go
@@ -52,7 +52,7 @@
 	if running == nil {
 		return
 	}
-	_ = running.Close() // open connections are cut on purpose
+	_ = running.Close() // open connections are closed on purpose
 	<-done
 }
 
