--- a/peridotknot/trace.go
+++ b/peridotknot/trace.go
@@ -33,7 +33,7 @@
 	return pktrace.Write(os.Stdout, lines)
 }
 
-// firstModel returns the model of the first model request, or an empty id.
+// firstModel returns the model of the first model request, or an empty ID.
 func firstModel(lines []pktrace.Line) pkid.ModelID {
 	for _, l := range lines {
 		if l.Kind == pktrace.KindModel {
--- a/pkconfig/table.go
+++ b/pkconfig/table.go
@@ -64,7 +64,7 @@
 	return a, found
 }
 
-// Service returns the service with the given id.
+// Service returns the service with the given ID.
 func (t *Table) Service(id pkid.ServiceID) (*Service, bool) {
 	s, found := t.services[id]
 	return s, found
--- a/pkentry/callers.go
+++ b/pkentry/callers.go
@@ -56,7 +56,7 @@
 	resource string
 }
 
-// handle wraps do with the steps common to all calls: it assigns a request id, starts a span, takes a
+// handle wraps do with the steps common to all calls: it assigns a request ID, starts a span, takes a
 // manifest snapshot and authenticates the account. An error from do is written as the response.
 func (e *Entry) handle(do func(*call) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
@@ -74,7 +74,7 @@
 	}
 }
 
-// requestID returns the request id from the client's header if it is valid, or else the generated
+// requestID returns the request ID from the client's header if it is valid, or else the generated
 // one.
 func (c *call) requestID() string {
 	given := c.r.Header.Get(pkopenai.HeaderRequestID)
--- a/pkentry/chat.go
+++ b/pkentry/chat.go
@@ -70,7 +70,7 @@
 	return c.run(run, req, endpoint)
 }
 
-// digest returns a digest of a model request without its id, by which the quarantine recognizes a
+// digest returns a digest of a model request without its ID, by which the quarantine recognizes a
 // request that is sent again.
 func (c *call) digest(req pkopenai.Request, prompt string) pkquarantine.Digest {
 	identity := pkquarantine.Identity{Account: c.account.ID, Method: c.r.Method, URI: c.r.URL.Path, Body: []byte(req.Model + "\n" + prompt)}
--- a/pkentry/claims.go
+++ b/pkentry/claims.go
@@ -80,7 +80,7 @@
 	if c == nil {
 		return false, errClaimUnanswered
 	}
-	id, answer := e.claims.addPending()
+	id, reply := e.claims.addPending()
 	defer e.claims.removePending(id)
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -88,7 +88,7 @@
 		return false, err
 	}
 	select {
-	case granted := <-answer:
+	case granted := <-reply:
 		return granted, nil
 	case <-ctx.Done():
 		return false, errClaimUnanswered
@@ -125,7 +125,7 @@
 	return err
 }
 
-// handOverBatch is the maximum number of claims in a hand-over message.
+// handOverBatch is the maximum number of claims in a message that hands claims over.
 const handOverBatch = 500
 
 // connPollInterval is the interval for checking whether a link is connected.
@@ -171,15 +171,15 @@
 }
 
 func (c *claims) addPending() (uint64, <-chan bool) {
-	answer := make(chan bool, 1)
+	reply := make(chan bool, 1)
 	id := c.nextID.Add(1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.pending == nil {
 		c.pending = map[uint64]chan bool{}
 	}
-	c.pending[id] = answer
-	return id, answer
+	c.pending[id] = reply
+	return id, reply
 }
 
 func (c *claims) removePending(id uint64) {
@@ -188,11 +188,11 @@
 	delete(c.pending, id)
 }
 
-func (c *claims) resolve(a *pkmember.ClaimReply) {
+func (c *claims) resolve(r *pkmember.ClaimReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if answer, found := c.pending[a.ID]; found {
-		delete(c.pending, a.ID)
-		answer <- a.Granted
+	if reply, found := c.pending[r.ID]; found {
+		delete(c.pending, r.ID)
+		reply <- r.Granted
 	}
 }
--- a/pkentry/routes.go
+++ b/pkentry/routes.go
@@ -114,7 +114,7 @@
 }
 
 // chooseSpec returns the chain spec of a new request; a request keeps its model version until it
-// ends. During a roll-out engines hold two versions. The manifest's version is preferred while it has
+// ends. During a rollout, engines hold two versions. The manifest's version is preferred while it has
 // free slots; otherwise the fastest available chain decides, so that the capacity of the previous
 // version stays in use and no request fails because the new version has no complete chain yet.
 func (e *Entry) chooseSpec(m *pkmanifest.Model, adapter pkid.AdapterID) pkroute.ChainSpec {
--- a/pketcd/client.go
+++ b/pketcd/client.go
@@ -99,7 +99,7 @@
 	return pkstore.SwapResult{Item: current}, nil
 }
 
-// Grant creates a lease; ttl is rounded down to seconds, and at least one.
+// Grant creates a lease; ttl is rounded down to whole seconds, with a minimum of one second.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (pkstore.LeaseID, error) {
 	var out LeaseResponse
 	err := c.call(ctx, PathGrant, LeaseGrantRequest{TTL: int64(max(ttl/time.Second, 1))}, &out)
--- a/pkexplain/explanation.go
+++ b/pkexplain/explanation.go
@@ -30,7 +30,7 @@
 	Message string
 	// Fields are the other fields that are not empty, sorted by name.
 	Fields []Field
-	// Why is how the line relates to the request.
+	// Why is the reason for which the line was selected.
 	Why string
 }
 
@@ -47,7 +47,7 @@
 	Unreadable int
 }
 
-// Read reads a log and returns the lines that explain the request with the given id. The error is
+// Read reads a log and returns the lines that explain the request with the given ID. The error is
 // ErrUnknown if no line names it.
 func Read(log io.Reader, id string) (Explanation, error) {
 	all, unreadable, err := readLines(log)
@@ -167,7 +167,7 @@
 // Reasons for selecting a line.
 const (
 	reasonRequest = "request"
-	// reasonSameDigest marks lines on requests of the same digest under other ids, however old.
+	// reasonSameDigest marks lines on requests of the same digest under other IDs, however old.
 	reasonSameDigest    = "same"
 	reasonConfiguration = "configuration"
 	reasonTarget        = "target"
--- a/pkexplain/explanation_test.go
+++ b/pkexplain/explanation_test.go
@@ -43,7 +43,7 @@
 	assert.Equal(t, e.Lines[3].value("gone"), "true")
 }
 
-// A request is refused because it crashed three targets under other ids.
+// A request is refused because it crashed three targets under other IDs.
 const quarantinedLog = `
 {"@timestamp":"2026-07-09T14:20:00.000000Z","@level":"info","@message":"a target ended under a request","request_id":"first","digest":"00ab","target":"i-1","crashes":3}
 {"@timestamp":"2026-07-09T14:20:00.000000Z","@level":"warn","@message":"a request is quarantined","digest":"00ab","source":"own","for_ms":600000}
--- a/pkhead/adopt.go
+++ b/pkhead/adopt.go
@@ -5,7 +5,7 @@
 	"peridotknot.example/pkmanifest"
 )
 
-// Adoption is what a VM does with a manifest received from the store or a peer.
+// Adoption is the decision on a manifest received from the store or a peer.
 type Adoption uint8
 
 // Adoptions.
--- a/pkhead/head.go
+++ b/pkhead/head.go
@@ -48,7 +48,7 @@
 	Recent []Publication `json:"recent,omitempty"`
 }
 
-// Find returns the publication with the given id, if the head still lists it.
+// Find returns the publication with the given ID, if the head still lists it.
 func (h Head) Find(id PublishID) (Publication, bool) {
 	if h.ID == id {
 		return h.Publication, true
--- a/pkmanifest/key.go
+++ b/pkmanifest/key.go
@@ -19,7 +19,7 @@
 	secretBytes  = 24
 )
 
-// Key is the stored form of an API key: its public id and a salted hash.
+// Key is the stored form of an API key: its public ID and a salted hash.
 type Key struct {
 	ID   pkid.KeyID `yaml:"id" json:"id"`
 	Salt string     `yaml:"salt" json:"salt"`
@@ -50,7 +50,7 @@
 	return Key{ID: id, Salt: salt, Hash: hashSecret(salt, secret)}, nil
 }
 
-// SplitKey returns the public id and the secret of an API key.
+// SplitKey returns the public ID and the secret of an API key.
 func SplitKey(key string) (pkid.KeyID, string, error) {
 	parts := strings.Split(key, "_")
 	if len(parts) != 3 || parts[0] != keyPrefix || parts[1] == "" || parts[2] == "" {
--- a/pkmeasure/control.go
+++ b/pkmeasure/control.go
@@ -15,7 +15,7 @@
 )
 
 // settleTime is the delay between the start of a lab and the measurement, and sampleTime the duration
-// of the measurement. It is longer than the interval between a watcher's rereads of the store.
+// of the measurement; sampleTime exceeds the interval between a watcher's rereads of the store.
 const (
 	settleTime = 2 * time.Second
 	sampleTime = 12 * time.Second
--- a/pktrace/exchange.go
+++ b/pktrace/exchange.go
@@ -19,7 +19,7 @@
 	"peridotknot.example/pkverdict"
 )
 
-// HeaderCall carries the id of a replayed call, by which targets count its executions.
+// HeaderCall carries the ID of a replayed call, by which targets count its executions.
 const HeaderCall = "X-Replay-Call"
 
 // maxResponseBytes bounds the size of a JSON response.
