--- a/pkexplain/explanation_test.go
+++ b/pkexplain/explanation_test.go
@@ -23,11 +23,11 @@
 `
 
 func TestReadSelectsRelatedLines(t *testing.T) {
-	s, err := Read(strings.NewReader(brokenStreamLog), "ed8f")
+	e, err := Read(strings.NewReader(brokenStreamLog), "ed8f")
 	assert.NilError(t, err)
-	assert.Equal(t, s.Unreadable, 1)
+	assert.Equal(t, e.Unreadable, 1)
 	var got []string
-	for _, l := range s.Lines {
+	for _, l := range e.Lines {
 		got = append(got, l.Why+": "+l.Message)
 	}
 	assert.DeepEqual(t, got, []string{
@@ -39,11 +39,11 @@
 		"request: a send failed",
 		"request: request",
 	})
-	assert.Equal(t, s.Lines[0].value("version"), "1", "the version in force when the request arrived")
-	assert.Equal(t, s.Lines[3].value("gone"), "true")
+	assert.Equal(t, e.Lines[0].value("version"), "1", "the version in force when the request arrived")
+	assert.Equal(t, e.Lines[3].value("gone"), "true")
 }
 
-// A request is refused because it crashed three targets under other ids.
+// A request is refused because it crashed three targets under other IDs.
 const quarantinedLog = `
 {"@timestamp":"2026-07-09T14:20:00.000000Z","@level":"info","@message":"a target ended under a request","request_id":"first","digest":"00ab","target":"i-1","crashes":3}
 {"@timestamp":"2026-07-09T14:20:00.000000Z","@level":"warn","@message":"a request is quarantined","digest":"00ab","source":"own","for_ms":600000}
@@ -53,10 +53,10 @@
 `
 
 func TestReadSelectsEarlierLinesOfTheSameDigest(t *testing.T) {
-	s, err := Read(strings.NewReader(quarantinedLog), "ed8f")
+	e, err := Read(strings.NewReader(quarantinedLog), "ed8f")
 	assert.NilError(t, err)
 	var got []string
-	for _, l := range s.Lines {
+	for _, l := range e.Lines {
 		got = append(got, l.Why+": "+l.Message)
 	}
 	assert.DeepEqual(t, got, []string{"same: a target ended under a request", "same: a request is quarantined", "request: request"})
