--- a/pkreplica/deletion.go
+++ b/pkreplica/deletion.go
@@ -42,8 +42,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.deletedAt = time.Time{}
-	if heldChanged && t.staleLayers {
-		t.staleLayers = false
+	if heldChanged && t.staleRecord {
+		t.staleRecord = false
 		t.avoidUntil = time.Time{}
 	}
 }
--- a/pkreplica/target.go
+++ b/pkreplica/target.go
@@ -54,8 +54,8 @@
 	ended     bool
 	restarted bool
 	displaced bool
-	// staleLayers is set while the target is avoided until its record lists other layers.
-	staleLayers bool
+	// staleRecord is set while the target is avoided until its record lists other layers.
+	staleRecord bool
 	// prefillUntil is when the target will have prefilled this entry's prompts.
 	prefillUntil time.Time
 	// recent is the memory of requests that began recently, decaying exponentially from recentAt.
@@ -192,7 +192,7 @@
 	t.Avoid(until)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.staleLayers = true
+	t.staleRecord = true
 }
 
 // AllowProbe reports whether the target may be probed for liveness at now, at most once per
@@ -269,7 +269,7 @@
 func (t *Target) Excluded(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.ended || t.displaced || now.Before(t.deadUntil) || (t.staleLayers && now.Before(t.avoidUntil))
+	return t.ended || t.displaced || now.Before(t.deadUntil) || (t.staleRecord && now.Before(t.avoidUntil))
 }
 
 // expectedWait estimates how long a call takes: the mean latency scaled by the load per slot.
